--- a/src/zinniaspool/gateway/main.py
+++ b/src/zinniaspool/gateway/main.py
@@ -12,7 +12,7 @@
 
 from zinniaspool.core.dispatch import (
     Quarantine,
-    RepeatLimits,
+    RetryLimits,
     find_subset,
 )
 from zinniaspool.core.fleet import (
@@ -164,7 +164,7 @@
         self._moves = Moves(self._index)
         quarantine = Quarantine()
         self._records = HeldRecords(
-            node.node, self._belief, self._store, quarantine.list_crashed
+            node.node, self._belief, self._store, quarantine.list_crashed_instances
         )
         self._crashes = CrashWatch(
             node.node,
@@ -176,7 +176,9 @@
             self._tell_holder,
         )
         self._limits = AnnouncedLimits(
-            node.node, self._index, lambda note: self._tell(self._subset.others, note)
+            node.node,
+            self._index,
+            lambda note: self._tell(self._subset.other_members, note),
         )
         self._carrier = Carrier(
             self._http,
@@ -192,9 +194,9 @@
             self._index,
             self._moves,
             self._tell_holder,
-            lambda note: self._tell(self._subset.others, note),
+            lambda note: self._tell(self._subset.other_members, note),
         )
-        repeats = RepeatLimits(
+        repeats = RetryLimits(
             node.repeat_ratio, node.repeat_window_s, node.repeat_slack
         )
         tally = RequestTally()
@@ -340,7 +342,7 @@
             if not changes and not whole:
                 continue
             note = LoadNote(self._node.node, changes, whole)
-            self._tell(self._subset.others, note)
+            self._tell(self._subset.other_members, note)
 
     @property
     def _may_begin(self) -> bool:
@@ -382,7 +384,7 @@
     def _refresh(self) -> None:
         now = asyncio.get_running_loop().time()
         for state in self._index.refresh(now):
-            if self._belief.is_over(state.target.instance, state.target.born):
+            if self._belief.is_over(state.target.instance, state.target.started_at_ms):
                 self._http.forget(state.target.address)
             self._moves.move_from(state)
 
@@ -394,7 +396,9 @@
         self._face.processes = everybody
         if subset != self._subset:
             _log.info(
-                "targets-shared", peers=",".join(subset.others), number=subset.number
+                "targets-shared",
+                peers=",".join(subset.other_members),
+                number=subset.index,
             )
         self._subset = subset
         self._index.set_subset(subset, everybody)
--- a/src/zinniaspool/gateway/metrics.py
+++ b/src/zinniaspool/gateway/metrics.py
@@ -35,7 +35,7 @@
     def list_running() -> Iterator[Sample]:
         running: Counter[str] = Counter()
         for state in index:
-            running[state.target.model or "plain"] += state.own
+            running[state.target.model or "plain"] += state.local_requests
         for model, count in running.items():
             yield Sample({"model": model}, count)
 
@@ -74,7 +74,7 @@
         yield Sample({}, crashes.crashes)
 
     def list_held() -> Iterator[Sample]:
-        yield Sample({}, crashes.quarantine.held)
+        yield Sample({}, crashes.quarantine.quarantined_count)
 
     page.count(
         "zinniaspool_upstream_crashes",
--- a/src/zinniaspool/gateway/moves.py
+++ b/src/zinniaspool/gateway/moves.py
@@ -70,7 +70,7 @@
         other = self._choose_other(call, state, now)
         if other is None:
             return False
-        if only_to_room and other.load(now) >= other.target.slots:
+        if only_to_room and other.estimate_load(now) >= other.target.slots:
             return False
         call.doubted.add(state.target.fabric_domain)
         self._end_attempt(call, now)
@@ -85,7 +85,7 @@
             now,
             [*call.tried, state.target.instance],
             call.terms.prompt_tokens,
-            doubted={*call.doubted, state.target.fabric_domain},
+            suspected_domains={*call.doubted, state.target.fabric_domain},
         )
 
     def move_overdue(self, now: float) -> list[TargetState]:
@@ -101,7 +101,7 @@
         owing = []
         for state, calls in list(self._running.items()):
             overdue = [call for call in calls if self._is_overdue(call, now)]
-            if overdue and not state.writing:
+            if overdue and not state.streaming:
                 owing.append(state)
             for call in overdue:
                 call.overdue = self._move(call, state, now, only_to_room=True)
@@ -130,7 +130,7 @@
 
     def _find_due(self, call: GatewayCall) -> float:
         pool = self._index.find(call.service, call.terms.model)
-        return call.sent_at + pool.first_timeout.allow(call.predicted_s)
+        return call.sent_at + pool.first_event_timeout.compute_timeout(call.predicted_s)
 
     def _may_move(self, call: GatewayCall) -> bool:
         if not call.route.repeatable or call.progress is Progress.PARTIAL:
--- a/src/zinniaspool/gateway/silence.py
+++ b/src/zinniaspool/gateway/silence.py
@@ -6,12 +6,12 @@
 import structlog
 
 from zinniaspool.core.dispatch import (
-    SilenceLimits,
+    StallLimits,
     TargetState,
-    doubt,
-    find_next_silence,
-    find_silent,
-    rest_silent,
+    back_off,
+    find_next_stall,
+    find_stalled,
+    suspect,
 )
 from zinniaspool.core.ids import NodeId
 from zinniaspool.core.messages.fleet import SilentTarget
@@ -55,7 +55,7 @@
         self._moves = moves
         self._tell_holder = tell_holder
         self._tell_peers = tell_peers
-        self._limits = SilenceLimits()
+        self._limits = StallLimits()
 
     async def run(self) -> None:
         """Look for silent targets until cancelled."""
@@ -74,38 +74,38 @@
             now + MOST_PAUSE_S,
             self._moves.find_next_overdue(),
             *(
-                find_next_silence(pool, self._limits, now)
+                find_next_stall(pool, self._limits, now)
                 for pool in self._index.list_pools()
             ),
         )
 
     def _look(self, now: float) -> None:
         for pool in self._index.list_pools():
-            for state in find_silent(pool, self._limits, now):
+            for state in find_stalled(pool, self._limits, now):
                 self._take_silent(state, now)
         for state in self._moves.move_overdue(now):
-            if doubt(state, self._limits, now):
+            if suspect(state, self._limits, now):
                 self._note_silent(state, now)
 
     def _take_silent(self, state: TargetState, now: float) -> None:
-        if now >= state.silent_until:
-            rest_silent(state, self._limits, now)
+        if now >= state.backoff_until:
+            back_off(state, self._limits, now)
             self._note_silent(state, now)
         # Where requests only wait, others' prompts may be what they wait for:
         # where all targets are full, they would be read twice for nothing.
-        self._moves.move_from(state, only_to_room=not state.writing)
+        self._moves.move_from(state, only_to_room=not state.streaming)
 
     def hear(self, note: SilentTarget) -> None:
         """Take that another process found a target silent."""
         now = asyncio.get_running_loop().time()
         state = self._index.find_state(note.instance)
-        if state is None or not doubt(state, self._limits, now):
+        if state is None or not suspect(state, self._limits, now):
             return
         _log.info(
             "target-told-silent",
             instance=note.instance,
             told_by=note.node,
-            own=state.own,
+            own=state.local_requests,
         )
         self._moves.move_from(state, only_to_room=True)
 
@@ -120,15 +120,15 @@
             "target-silent",
             instance=state.target.instance,
             group=state.target.group or "",
-            own=state.own,
-            writing=state.writing,
-            quiet_ms=int((now - state.progress_at) * 1000),
+            own=state.local_requests,
+            writing=state.streaming,
+            quiet_ms=int((now - state.last_event_at) * 1000),
         )
         if state.target.group is None:
             return
         note = SilentTarget(state.target.instance, self._node)
         self._tell_holder(note)
-        if state.writing and self._hears_others(state, now):
+        if state.streaming and self._hears_others(state, now):
             self._tell_peers(note)
 
     def _hears_others(self, silent: TargetState, now: float) -> bool:
@@ -138,7 +138,7 @@
         would have its peers leave all targets alone.
         """
         return any(
-            now - state.progress_at < self._limits.writing_s
+            now - state.last_event_at < self._limits.streaming_s
             for state in self._index.list_busy()
-            if state is not silent and state.writing
+            if state is not silent and state.streaming
         )
--- a/src/zinniaspool/gateway/spelling.py
+++ b/src/zinniaspool/gateway/spelling.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from zinniaspool.core.dispatch import CallerTerms, InstanceLoad
+from zinniaspool.core.dispatch import InstanceLoad, RequestTerms
 from zinniaspool.core.fleet import CustomerSpec, InstanceId
 from zinniaspool.core.ids import RequestId
 from zinniaspool.http import Headers, Request
@@ -13,7 +13,7 @@
 class CallSpelling(Protocol):
     """Reads and writes the headers of requests and answers."""
 
-    def read_terms(self, request: Request) -> CallerTerms:
+    def read_terms(self, request: Request) -> RequestTerms:
         """Return what a caller says; what cannot be read counts as unsaid."""
         ...
 
--- a/src/zinniaspool/gateway/targets.py
+++ b/src/zinniaspool/gateway/targets.py
@@ -9,8 +9,8 @@
 
 from zinniaspool.core.dispatch import (
     AnnouncedRate,
-    EnginePace,
-    LoadChanges,
+    EngineTiming,
+    LoadChangeTracker,
     PeerLoads,
     Subset,
     Target,
@@ -69,7 +69,7 @@
         self._subset: Subset | None = None
         self._everybody = 1
         self._peers = PeerLoads()
-        self._changes = LoadChanges()
+        self._changes = LoadChangeTracker()
         self._catalog: Catalog | None = None
         self._parts: dict[InstancePart, _PartTargets] = {}
 
@@ -117,7 +117,7 @@
             state
             for pool in self._pools.values()
             for state in pool.busy
-            if not state.gone
+            if not state.removed
         ]
 
     def list_demands(
@@ -134,18 +134,22 @@
 
     def list_load_changes(self) -> dict[InstanceId, TargetLoad]:
         """Return what of this process's loads is to be told to the others."""
-        return self._changes.list_changes(self.list_loads())
+        return self._changes.collect_changes(self.list_loads())
 
     def list_loads(self) -> dict[InstanceId, TargetLoad]:
         """Return this process's requests by target."""
         return {
-            state.target.instance: TargetLoad(state.own, state.unread)
+            state.target.instance: TargetLoad(
+                state.local_requests, state.local_unread_tokens
+            )
             for state in self.list_busy()
         }
 
     def take_loads(self, note: LoadNote, now: float) -> None:
         """Take what another process has at targets."""
-        self._set_peers(self._peers.take(note.node, note.loads, now, whole=note.whole))
+        self._set_peers(
+            self._peers.apply_report(note.node, note.loads, now, complete=note.whole)
+        )
 
     def expire_loads(self, now: float) -> None:
         """Forget what processes had that fell silent."""
@@ -153,7 +157,7 @@
 
     def measure_age(self, now: float) -> float:
         """Return how old the oldest word on others' loads is, in seconds."""
-        return self._peers.measure_age(now)
+        return self._peers.measure_oldest_age(now)
 
     def _set_peers(self, changed: Collection[InstanceId]) -> None:
         if not changed:
@@ -162,8 +166,8 @@
             for instance in changed:
                 state = pool.get(instance)
                 if state is not None:
-                    state.peers = self._peers.at(instance)
-                    state.note_unread()
+                    state.peer_load = self._peers.get(instance)
+                    state.update_peak_unread()
 
     def refresh(self, now: float) -> list[TargetState]:
         """Take the fleet as it is now; return the targets that are no more."""
@@ -189,7 +193,7 @@
                 "target-gone",
                 instance=state.target.instance,
                 group=state.target.group or "",
-                own=state.own,
+                own=state.local_requests,
             )
         return gone
 
@@ -198,8 +202,8 @@
             if spec.engine is None:
                 continue
             for model in spec.engine.models:
-                pace = EnginePace.of(spec.engine, model)
-                self.find(service, model.name).forecast.pace = pace
+                pace = EngineTiming.from_specs(spec.engine, model)
+                self.find(service, model.name).forecast.timing = pace
 
     def _refresh_parts(self, catalog: Catalog) -> set[_PoolKey]:
         """Work out the targets of changed parts; return the pools touched."""
@@ -245,8 +249,8 @@
         one.address,
         one.failure_domain,
         max(1, one.slots),
-        born=one.born,
-        ending=one.state is InstanceState.LEAVING,
+        started_at_ms=one.born,
+        draining=one.state is InstanceState.LEAVING,
     )
 
 
--- a/src/zinniaspool/platform/wire.py
+++ b/src/zinniaspool/platform/wire.py
@@ -3,7 +3,7 @@
 import math
 from collections.abc import Iterable
 
-from zinniaspool.core.dispatch import CallerTerms, InstanceLoad
+from zinniaspool.core.dispatch import InstanceLoad, RequestTerms
 from zinniaspool.core.fleet import CustomerSpec, InstanceId
 from zinniaspool.core.ids import ModelName, RequestId
 from zinniaspool.http import Headers, Request
@@ -62,13 +62,13 @@
 )
 
 
-def read_terms(request: Request) -> CallerTerms:
+def read_terms(request: Request) -> RequestTerms:
     """Return what a caller says; what cannot be read counts as unsaid."""
     headers = request.headers
     tokens = _numbers(headers.get(_TOKENS))
     deadline = headers.get(_DEADLINE)
     model = headers.get(_MODEL)
-    return CallerTerms(
+    return RequestTerms(
         RequestId(headers.get(_REQUEST_ID) or ""),
         None if _number(deadline) is None else (_number(deadline) or 0) / 1000,
         ModelName(model) if model else None,
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -1,10 +1,10 @@
-"""Callers, entry processes and batching engines on a virtual clock.
+"""Simulates callers, entry processes and batching engines on a virtual clock.
 
-For tests of what is admitted under load. Engines work as the platform's do:
-in passes of a few token steps, between which the prompts of newcomers are
-read, with a fixed number of slots and the more urgent requests first. Entry
-processes decide by the product's own core and know each other's requests as
-late as notes make them.
+It is used by tests of admission under load. The engines work as those of the
+platform: in passes of a few token steps, between which they read the prompts
+of newly arrived requests, with a fixed number of slots and the more urgent
+requests first. The entry processes decide with the product's own code, and
+learn of each other's requests as late as load reports arrive.
 """
 
 import heapq
@@ -15,11 +15,11 @@
 from functools import partial
 
 from zinniaspool.core.dispatch import (
-    Admission,
-    Ask,
-    EnginePace,
-    LoadChanges,
-    PatienceWatch,
+    AdmissionController,
+    AdmissionRequest,
+    CallerTimeoutEstimator,
+    EngineTiming,
+    LoadChangeTracker,
     PeerLoads,
     Refusal,
     Target,
@@ -39,26 +39,31 @@
     NodeId,
 )
 
-__all__ = ["Caller", "Kind", "LoadWorld", "Shape"]
+__all__ = ["Caller", "Workload", "SimulatedFleet", "FleetShape"]
 
-NOTES_S = 0.05
+REPORT_PERIOD_S = 0.05
 LINK_S = 0.001
 LATE_URGENCY = 5
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """The fleet: figures of the smaller model of the users' sheets, as played.
+class FleetShape:
+    """The simulated fleet.
+
+    The defaults are the figures of the smaller model in the users' sheets, as
+    replayed.
 
     Attributes:
         entries: Entry processes.
         engines: Replica groups of the model.
-        slots: Requests that one runs at a time.
-        stride: Token steps a pass; each brings one event.
-        step_s: Seconds of a step.
-        per_request_s: Seconds more a step for each request that writes.
-        read_s: Seconds to read a prompt token.
-        first_s: Seconds of each first event that no load explains.
+        slots: Requests that an engine runs at a time.
+        stride: Token steps in a pass; each pass brings one event.
+        step_s: Time of a step, in seconds.
+        per_request_s: Additional time of a step for each running request, in
+            seconds.
+        read_s: Time to read a prompt token, in seconds.
+        first_event_s: Time of each first event that load doesn't explain, in
+            seconds.
     """
 
     entries: int = 8
@@ -68,386 +73,410 @@
     step_s: float = 0.00387
     per_request_s: float = 0.000116
     read_s: float = 0.0000107
-    first_s: float = 0.093
+    first_event_s: float = 0.093
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class Workload:
     """What callers ask for.
 
     Attributes:
-        prompt: Mean prompt tokens; drawn from a half to twice that.
+        prompt: Mean prompt tokens; the simulation draws from a half to one and
+            a half times that.
         events: Mean events of an answer; drawn likewise.
-        objective_s: Until when a first event is on time.
-        deadline_s: How long the most patient caller waits.
-        silence_s: When callers leave that have heard nothing.
+        objective_s: Time until which a first event is on time, in seconds.
+        deadline_s: How long the most patient caller waits, in seconds.
+        first_event_timeout_s: Time after which a caller without an event
+            leaves, in seconds.
     """
 
     prompt: int = 674
     events: int = 31
     objective_s: float = 0.25
     deadline_s: float = 6.0
-    silence_s: float = 2.0
+    first_event_timeout_s: float = 2.0
 
 
 @dataclass(eq=False, slots=True)
 class Caller:
-    """One caller's request, over both of its tries.
+    """One caller's request, over both of its attempts.
 
     Attributes:
-        asked_at: When it asked first.
-        deadline: When it stops waiting.
-        prompt: Tokens of its prompt.
+        requested_at: Time of its first attempt.
+        deadline: Time at which it stops waiting.
+        prompt: Prompt tokens.
         events: Events of its answer.
-        first_at: When its first event came; None for never.
-        ended_at: When its last event came.
-        tries: How often it asked.
-        refused: How often it was refused.
-        held_s: Longest time that it was kept before it was refused.
+        first_event_at: Time of its first event, or None if there is none.
+        ended_at: Time of its last event.
+        attempts: How often it sent its request.
+        refusals: How often it was refused.
+        max_wait_s: Longest time that it waited before it was refused, in
+            seconds.
     """
 
-    asked_at: float
+    requested_at: float
     deadline: float
     prompt: int
     events: int
-    first_at: float | None = None
+    first_event_at: float | None = None
     ended_at: float | None = None
-    tries: int = 0
-    refused: int = 0
-    held_s: float = 0.0
+    attempts: int = 0
+    refusals: int = 0
+    max_wait_s: float = 0.0
 
     def is_on_time(self, objective_s: float) -> bool:
-        """Whether its first event came within the objective."""
-        done = self.ended_at is not None and self.first_at is not None
-        return done and (self.first_at or 0.0) - self.asked_at <= objective_s
+        """Whether the first event came within the objective."""
+        done = self.ended_at is not None and self.first_event_at is not None
+        return done and (self.first_event_at or 0.0) - self.requested_at <= objective_s
 
 
 @dataclass(eq=False, slots=True)
-class _Job:
+class _EngineRequest:
     caller: Caller
     urgency: int
-    came_at: float
+    arrived_at: float
     on_event: Callable[[bool], None]
-    left: int = 0
-    gone: bool = False
+    events_left: int = 0
+    cancelled: bool = False
 
 
 class _Engine:
     """One replica group's head."""
 
-    def __init__(self, world: "LoadWorld", name: str) -> None:
+    def __init__(self, fleet: "SimulatedFleet", name: str) -> None:
         self.id = InstanceId(name)
-        self._world = world
-        self._line: list[tuple[int, int, _Job]] = []
-        self._running: list[_Job] = []
-        self._numbers = itertools.count()
-        self._working = False
+        self._fleet = fleet
+        self._queue: list[tuple[int, int, _EngineRequest]] = []
+        self._running: list[_EngineRequest] = []
+        self._sequence = itertools.count()
+        self._in_pass = False
 
-    def take(self, job: _Job) -> None:
-        job.left = job.caller.events
-        heapq.heappush(self._line, (job.urgency, next(self._numbers), job))
-        self._world.after(self._world.shape.first_s, self._begin_pass)
+    def submit(self, request: _EngineRequest) -> None:
+        request.events_left = request.caller.events
+        heapq.heappush(self._queue, (request.urgency, next(self._sequence), request))
+        self._fleet.after(self._fleet.shape.first_event_s, self._begin_pass)
 
     @property
     def load(self) -> int:
-        """Requests that run or wait here."""
+        """Number of requests that run or wait here."""
         return len(self._running) + len(self.waiting())
 
-    def waiting(self) -> list[_Job]:
+    def waiting(self) -> list[_EngineRequest]:
         """Return the requests that wait for a slot here."""
-        return [job for _, _, job in self._line if not job.gone]
+        return [request for _, _, request in self._queue if not request.cancelled]
 
     def _begin_pass(self) -> None:
-        if self._working:
+        if self._in_pass:
             return
-        shape = self._world.shape
-        writers = len(self._running)
+        shape = self._fleet.shape
+        running_count = len(self._running)
         new = self._admit()
-        if not writers and not new:
+        if not running_count and not new:
             return
-        self._working = True
-        took_s = shape.stride * (shape.step_s + shape.per_request_s * writers)
-        took_s += shape.read_s * sum(job.caller.prompt for job in new)
-        self._world.after(took_s, self._end_pass)
-
-    def _admit(self) -> list[_Job]:
-        ready = self._world.now - self._world.shape.first_s + 1e-9
-        free = self._world.shape.slots - len(self._running)
-        new: list[tuple[int, int, _Job]] = []
-        waiting: list[tuple[int, int, _Job]] = []
-        while self._line and len(new) < free:
-            entry = heapq.heappop(self._line)
-            if entry[2].gone:
+        self._in_pass = True
+        took_s = shape.stride * (shape.step_s + shape.per_request_s * running_count)
+        took_s += shape.read_s * sum(request.caller.prompt for request in new)
+        self._fleet.after(took_s, self._end_pass)
+
+    def _admit(self) -> list[_EngineRequest]:
+        ready_before = self._fleet.now - self._fleet.shape.first_event_s + 1e-9
+        free_slots = self._fleet.shape.slots - len(self._running)
+        new: list[tuple[int, int, _EngineRequest]] = []
+        waiting: list[tuple[int, int, _EngineRequest]] = []
+        while self._queue and len(new) < free_slots:
+            queued = heapq.heappop(self._queue)
+            if queued[2].cancelled:
                 continue
-            (new if entry[2].came_at <= ready else waiting).append(entry)
-        for entry in waiting:
-            heapq.heappush(self._line, entry)
-        jobs = [entry[2] for entry in new]
-        self._running += jobs
-        return jobs
+            (new if queued[2].arrived_at <= ready_before else waiting).append(queued)
+        for queued in waiting:
+            heapq.heappush(self._queue, queued)
+        requests = [queued[2] for queued in new]
+        self._running += requests
+        return requests
 
     def _end_pass(self) -> None:
-        self._working = False
-        for job in list(self._running):
-            job.left -= 1
-            if job.gone or not job.left:
-                self._running.remove(job)
-            if not job.gone:
-                job.on_event(not job.left)
+        self._in_pass = False
+        for request in list(self._running):
+            request.events_left -= 1
+            if request.cancelled or not request.events_left:
+                self._running.remove(request)
+            if not request.cancelled:
+                request.on_event(not request.events_left)
         self._begin_pass()
 
 
 @dataclass(frozen=True, slots=True)
-class _Held:
+class _QueuedCaller:
     caller: Caller
-    ask: Ask
+    request: AdmissionRequest
     since: float
 
 
 class _Entry:
     """One entry process."""
 
-    def __init__(self, world: "LoadWorld", number: int) -> None:
+    def __init__(self, fleet: "SimulatedFleet", number: int) -> None:
         self.node = NodeId(f"n{number}")
-        self.pool = TargetPool(FailureDomainId("a"), world.source)
-        self.admission = Admission(self.pool, world.source)
+        self.pool = TargetPool(FailureDomainId("a"), fleet.random_source)
+        self.admission = AdmissionController(self.pool, fleet.random_source)
         self.peers = PeerLoads()
-        self._patience = PatienceWatch()
-        self._changes = LoadChanges()
-        self._world = world
-        self._waiting: dict[Ticket, _Held] = {}
-        shape = world.shape
+        self._timeouts = CallerTimeoutEstimator()
+        self._changes = LoadChangeTracker()
+        self._fleet = fleet
+        self._waiting: dict[Ticket, _QueuedCaller] = {}
+        shape = fleet.shape
         domain = FailureDomainId("a")
         names = {NodeId(f"n{n}"): domain for n in range(shape.entries)}
         subset = find_subset(self.node, domain, names)
-        self._others = set(subset.others)
+        self._subset_peers = set(subset.other_members)
         self.pool.set_subset(subset, shape.entries)
-        self.pool.forecast.pace = EnginePace(
+        self.pool.forecast.timing = EngineTiming(
             shape.stride * shape.step_s,
             shape.stride * shape.per_request_s,
             shape.read_s,
         )
-        self.pool.update([_make_target(one.id, shape) for one in world.engines], 0.0)
-
-    def ask(self, caller: Caller) -> None:
-        """Take a caller's request, as the entry program does."""
-        now, kind = self._world.now, self._world.kind
-        patience_s = caller.deadline - now
-        waited_s = self._patience.measure_waited(patience_s)
-        self._patience.note(patience_s, calm=self.admission.is_calm(now))
-        ask = Ask(
+        self.pool.update(
+            [_make_target(engine.id, shape) for engine in fleet.engines], 0.0
+        )
+
+    def handle(self, caller: Caller) -> None:
+        """Handle a caller's request as the entry program does."""
+        now, workload = self._fleet.now, self._fleet.workload
+        timeout_s = caller.deadline - now
+        waited_s = self._timeouts.estimate_waited(timeout_s)
+        self._timeouts.record(
+            timeout_s, only_new_callers=self.admission.expects_only_new_callers(now)
+        )
+        request = AdmissionRequest(
             CustomerId("c"),
             1,
-            now + kind.objective_s - waited_s - 0.02,
-            now + kind.silence_s,
+            now + workload.objective_s - waited_s - 0.02,
+            now + workload.first_event_timeout_s,
             caller.prompt,
         )
-        asked = self.admission.ask(ask, now)
-        if isinstance(asked, Refusal):
-            self._world.refuse(caller, asked, 0.0)
-        elif asked.state is TicketState.ADMITTED:
-            self._send(caller, asked)
+        decision = self.admission.submit(request, now)
+        if isinstance(decision, Refusal):
+            self._fleet.refuse(caller, decision, 0.0)
+        elif decision.state is TicketState.ADMITTED:
+            self._send(caller, decision)
         else:
-            self._waiting[asked] = _Held(caller, ask, now)
+            self._waiting[decision] = _QueuedCaller(caller, request, now)
 
     def step(self) -> None:
-        """Tell the others what is here, and let those that wait begin."""
+        """Report this process's loads, and admit waiting requests."""
         loads = {
-            one.target.instance: TargetLoad(one.own, one.unread)
-            for one in self.pool
-            if one.own
+            state.target.instance: TargetLoad(
+                state.local_requests, state.local_unread_tokens
+            )
+            for state in self.pool
+            if state.local_requests
         }
-        now = self._world.now
-        self._tell(self._changes.list_changes(loads))
-        for ticket in self.admission.step(now):
-            held = self._waiting.pop(ticket)
+        now = self._fleet.now
+        self._send_loads(self._changes.collect_changes(loads))
+        for ticket in self.admission.admit_waiting(now):
+            queued = self._waiting.pop(ticket)
             if ticket.state is TicketState.ADMITTED:
-                self._send(held.caller, ticket)
+                self._send(queued.caller, ticket)
             else:
-                refusal = self.admission.refuse(held.ask, now)
-                self._world.refuse(held.caller, refusal, now - held.since)
+                refusal = self.admission.refuse(queued.request, now)
+                self._fleet.refuse(queued.caller, refusal, now - queued.since)
 
-    def _tell(self, changes: dict[InstanceId, TargetLoad]) -> None:
+    def _send_loads(self, changes: dict[InstanceId, TargetLoad]) -> None:
         if not changes:
             return
-        for other in self._world.entries:
-            if other.node in self._others:
-                self._world.notes += 1
-                other.hear(self.node, changes)
+        for peer in self._fleet.entries:
+            if peer.node in self._subset_peers:
+                self._fleet.load_messages += 1
+                peer.receive_loads(self.node, changes)
 
-    def hear(self, node: NodeId, changes: dict[InstanceId, TargetLoad]) -> None:
-        """Take another process's word a link's time later."""
-        self._world.after(LINK_S, lambda: self._hear(node, changes))
+    def receive_loads(
+        self, node: NodeId, changes: dict[InstanceId, TargetLoad]
+    ) -> None:
+        """Receive another process's load report after the delay of a link."""
+        self._fleet.after(LINK_S, lambda: self._apply_loads(node, changes))
 
-    def _hear(self, node: NodeId, changes: dict[InstanceId, TargetLoad]) -> None:
-        changed = self.peers.take(node, changes, self._world.now, whole=False)
+    def _apply_loads(self, node: NodeId, changes: dict[InstanceId, TargetLoad]) -> None:
+        changed = self.peers.apply_report(
+            node, changes, self._fleet.now, complete=False
+        )
         for state in self.pool:
             if state.target.instance in changed:
-                state.peers = self.peers.at(state.target.instance)
+                state.peer_load = self.peers.get(state.target.instance)
 
     def _send(self, caller: Caller, ticket: Ticket) -> None:
-        now, kind = self._world.now, self._world.kind
-        within_s = None if ticket.late else kind.objective_s
-        state = self.pool.choose(now, (), caller.prompt, within_s)
+        now, workload = self._fleet.now, self._fleet.workload
+        first_event_within_s = None if ticket.late else workload.objective_s
+        state = self.pool.choose(now, (), caller.prompt, first_event_within_s)
         assert state is not None
-        predicted_s = self.pool.predict_first(state, caller.prompt, now)
-        unheard = self.pool.begin(state, caller.prompt)
+        predicted_s = self.pool.predict_first_event(state, caller.prompt, now)
+        unanswered_out_of_subset = self.pool.begin_request(state, caller.prompt)
         urgency = ticket.urgency + (LATE_URGENCY if ticket.late else 0)
-        job = _Job(caller, urgency, now, lambda last: None)
-        engine = self._world.find_engine(state.target.instance)
-        first = True
-
-        def take_event(last: bool) -> None:
-            nonlocal first, unheard
-            if first:
-                first = False
-                if unheard:
-                    late_s = self._world.now - now - predicted_s
-                    self.pool.note_first_outside(late_s, self._world.now)
-                if state.part < 1.0:
-                    self.pool.note_load(state, engine.load, self._world.now)
-                    unheard = False
-                state.unread -= caller.prompt
-                caller.first_at = self._world.now
-                self.pool.forecast.note_first(predicted_s, self._world.now - now)
+        request = _EngineRequest(caller, urgency, now, lambda last: None)
+        engine = self._fleet.find_engine(state.target.instance)
+        is_first = True
+
+        def on_event(last: bool) -> None:
+            nonlocal is_first, unanswered_out_of_subset
+            if is_first:
+                is_first = False
+                if unanswered_out_of_subset:
+                    late_s = self._fleet.now - now - predicted_s
+                    self.pool.record_out_of_subset_first_event(late_s, self._fleet.now)
+                if state.subset_part < 1.0:
+                    self.pool.record_reported_load(state, engine.load, self._fleet.now)
+                    unanswered_out_of_subset = False
+                state.local_unread_tokens -= caller.prompt
+                caller.first_event_at = self._fleet.now
+                self.pool.forecast.record_first_event(
+                    predicted_s, self._fleet.now - now
+                )
             if last:
-                caller.ended_at = self._world.now
+                caller.ended_at = self._fleet.now
                 self._end(state, now)
 
         def leave() -> None:
-            if first:
-                job.gone = True
-                state.unread -= caller.prompt
-                self.pool.end(state, self._world.now, unheard=unheard)
-
-        job.on_event = take_event
-        self._world.after(LINK_S, lambda: engine.take(job))
-        self._world.after(kind.silence_s, leave)
+            if is_first:
+                request.cancelled = True
+                state.local_unread_tokens -= caller.prompt
+                self.pool.end_request(
+                    state,
+                    self._fleet.now,
+                    unanswered_out_of_subset=unanswered_out_of_subset,
+                )
+
+        request.on_event = on_event
+        self._fleet.after(LINK_S, lambda: engine.submit(request))
+        self._fleet.after(workload.first_event_timeout_s, leave)
 
     def _end(self, state: TargetState, sent_at: float) -> None:
-        self.pool.end(state, self._world.now)
-        self.pool.forecast.note_stay(self._world.now - sent_at)
+        self.pool.end_request(state, self._fleet.now)
+        self.pool.forecast.record_request_time(self._fleet.now - sent_at)
 
 
-class LoadWorld:
-    """The whole of it.
+class SimulatedFleet:
+    """A fleet with its callers.
 
     Args:
-        rate: Returns how many callers ask a second, by the time.
+        rate: Returns the number of new callers a second at a time.
         shape: The fleet.
-        kind: What they ask for.
-        seed: Of all that is drawn.
+        workload: What the callers ask for.
+        seed: Seed of all random draws.
     """
 
     def __init__(
         self,
         rate: Callable[[float], float],
-        shape: Shape | None = None,
-        kind: Kind | None = None,
+        shape: FleetShape | None = None,
+        workload: Workload | None = None,
         seed: int = 1,
     ) -> None:
         self.now = 0.0
-        self.shape = shape or Shape()
-        self.kind = kind or Kind()
-        self.source = random.Random(seed)
+        self.shape = shape or FleetShape()
+        self.workload = workload or Workload()
+        self.random_source = random.Random(seed)
         self.callers: list[Caller] = []
-        self.notes = 0
+        self.load_messages = 0
         self._rate = rate
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self.engines = [_Engine(self, f"e{n}") for n in range(self.shape.engines)]
         self.entries = [_Entry(self, n) for n in range(self.shape.entries)]
         for entry in self.entries:
-            self._step_later(entry, self.source.uniform(0.0, NOTES_S))
-        self._arrive_later()
+            self._schedule_step(entry, self.random_source.uniform(0.0, REPORT_PERIOD_S))
+        self._schedule_arrival()
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Do something later."""
-        heapq.heappush(self._events, (self.now + seconds, next(self._numbers), act))
+    def after(self, seconds: float, action: Callable[[], None]) -> None:
+        """Schedule an action."""
+        heapq.heappush(self._events, (self.now + seconds, next(self._sequence), action))
 
     def advance(self, until: float) -> None:
-        """Let time pass."""
+        """Advance the virtual clock."""
         while self._events and self._events[0][0] <= until:
-            self.now, _, act = heapq.heappop(self._events)
-            act()
+            self.now, _, action = heapq.heappop(self._events)
+            action()
         self.now = until
 
     def find_engine(self, instance: InstanceId) -> _Engine:
         """Return an engine by its id."""
-        return next(one for one in self.engines if one.id == instance)
-
-    def lose_engines(self, names: set[InstanceId]) -> None:
-        """Take engines away; what runs there still ends."""
-        left = [
-            _make_target(one.id, self.shape)
-            for one in self.engines
-            if one.id not in names
+        return next(engine for engine in self.engines if engine.id == instance)
+
+    def remove_engines(self, names: set[InstanceId]) -> None:
+        """Remove engines from the targets; their running requests go on."""
+        remaining = [
+            _make_target(engine.id, self.shape)
+            for engine in self.engines
+            if engine.id not in names
         ]
         for entry in self.entries:
-            entry.pool.update(left, self.now)
+            entry.pool.update(remaining, self.now)
 
-    def list_asked(self, since: float, until: float) -> list[Caller]:
-        """Return the callers that asked first within a time."""
-        return [one for one in self.callers if since <= one.asked_at < until]
+    def list_callers(self, since: float, until: float) -> list[Caller]:
+        """Return the callers whose first attempt was within a time."""
+        return [
+            caller for caller in self.callers if since <= caller.requested_at < until
+        ]
 
     def measure_on_time(self, since: float, until: float) -> float:
         """Return the part of a time's callers that were answered on time."""
-        return share_on_time(self.list_asked(since, until), self.kind)
+        return share_on_time(self.list_callers(since, until), self.workload)
 
     def refuse(self, caller: Caller, refusal: Refusal, held_s: float) -> None:
-        """Send a caller away; it comes again once, if there is time."""
-        caller.refused += 1
-        caller.held_s = max(caller.held_s, held_s)
+        """Refuse a caller; it comes again once if its deadline allows that."""
+        caller.refusals += 1
+        caller.max_wait_s = max(caller.max_wait_s, held_s)
         left_s = caller.deadline - self.now
         wait_s = min(refusal.retry_after_s, left_s / 3)
-        if caller.tries < 2:
-            self.after(wait_s, partial(self._ask, caller))
+        if caller.attempts < 2:
+            self.after(wait_s, partial(self._send_request, caller))
 
-    def add_returning(self, count: int, asked_at: float) -> None:
-        """Let callers come now that asked earlier and reached nobody."""
+    def add_returning(self, count: int, requested_at: float) -> None:
+        """Add callers that could not reach any process before."""
         for _ in range(count):
-            caller = self._make_caller(asked_at)
-            self.after(self.source.uniform(0.0, 0.3), partial(self._ask, caller))
+            caller = self._make_caller(requested_at)
+            self.after(
+                self.random_source.uniform(0.0, 0.3),
+                partial(self._send_request, caller),
+            )
 
-    def _arrive_later(self) -> None:
+    def _schedule_arrival(self) -> None:
         rate = self._rate(self.now)
-        self.after(self.source.expovariate(rate), self._arrive)
+        self.after(self.random_source.expovariate(rate), self._arrive)
 
     def _arrive(self) -> None:
-        self._ask(self._make_caller(self.now))
-        self._arrive_later()
+        self._send_request(self._make_caller(self.now))
+        self._schedule_arrival()
 
-    def _make_caller(self, asked_at: float) -> Caller:
-        draw = self.source.uniform
-        patience_s = self.kind.deadline_s * draw(0.85, 1.0)
+    def _make_caller(self, requested_at: float) -> Caller:
+        draw = self.random_source.uniform
+        timeout_s = self.workload.deadline_s * draw(0.85, 1.0)
         caller = Caller(
-            asked_at,
-            asked_at + patience_s,
-            int(self.kind.prompt * draw(0.5, 1.5)),
-            max(1, int(self.kind.events * draw(0.5, 1.5))),
+            requested_at,
+            requested_at + timeout_s,
+            int(self.workload.prompt * draw(0.5, 1.5)),
+            max(1, int(self.workload.events * draw(0.5, 1.5))),
         )
         self.callers.append(caller)
         return caller
 
-    def _ask(self, caller: Caller) -> None:
-        caller.tries += 1
-        self.source.choice(self.entries).ask(caller)
+    def _send_request(self, caller: Caller) -> None:
+        caller.attempts += 1
+        self.random_source.choice(self.entries).handle(caller)
 
-    def _step_later(self, entry: _Entry, seconds: float) -> None:
-        def act() -> None:
+    def _schedule_step(self, entry: _Entry, seconds: float) -> None:
+        def run() -> None:
             entry.step()
-            self._step_later(entry, NOTES_S)
+            self._schedule_step(entry, REPORT_PERIOD_S)
 
-        self.after(seconds, act)
+        self.after(seconds, run)
 
 
-def share_on_time(callers: Sequence[Caller], kind: Kind) -> float:
-    """Return the part of some callers that were answered on time."""
-    done = sum(one.is_on_time(kind.objective_s) for one in callers)
+def share_on_time(callers: Sequence[Caller], workload: Workload) -> float:
+    """Return the part of callers that were answered on time."""
+    done = sum(caller.is_on_time(workload.objective_s) for caller in callers)
     return done / max(1, len(callers))
 
 
-def _make_target(instance: InstanceId, shape: Shape) -> Target:
+def _make_target(instance: InstanceId, shape: FleetShape) -> Target:
     return Target(
         instance,
         Address(f"10.0.0.1:{instance}"),
--- a/tests/once_nodes.py
+++ b/tests/once_nodes.py
@@ -28,7 +28,7 @@
 )
 from zinniaspool.core.membership import Member, MemberState, Role
 from zinniaspool.core.messages import ForwardedAnswer, ForwardedCall, Message
-from zinniaspool.core.requests import Peers
+from zinniaspool.core.requests import PeerCounts
 from zinniaspool.core.requests.claims import SlotOwner
 from zinniaspool.core.requests.keys import KeyLimits, KeyTable
 from zinniaspool.entry.calls import CallRunner
@@ -128,7 +128,7 @@
         configuration = self._configure()
         index = ServiceIndex(FleetView(2.0), random.Random(0), _DOMAIN)
         index.configure(configuration, 0.0)
-        index.share({}, Peers(1, 1, 0), 0.0)
+        index.share({}, PeerCounts(1, 1, 0), 0.0)
         own = SlotOwner(NodeId(name), Incarnation(self.starts), Address(name))
         table = KeyTable[EndedCall](KeyLimits())
         keeper = ClaimKeeper(self.store, own, 10_000.0, table)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Random orders of attempts: "not run" is true, and once is once."""
+"""Tests random orders of attempts: "not run" is true, and once is once."""
 
 from hypothesis import example, given, strategies as st
 from result import Err
@@ -7,14 +7,14 @@
 from zinniaspool.core.requests import (
     AttemptFailure,
     Attempts,
-    CallTerms,
     Progress,
     RetryBudget,
+    RetryTerms,
     parse_timeout,
     parse_urgency,
 )
 
-_SURE = (AttemptFailure.NOT_SENT, AttemptFailure.REFUSED)
+_NOT_RUN_FAILURES = (AttemptFailure.NOT_SENT, AttemptFailure.REFUSED)
 _steps = st.lists(
     st.tuples(
         st.sampled_from(AttemptFailure),
@@ -34,14 +34,14 @@
     idempotent: bool,
     tokens: float,
 ) -> None:
-    """The caller reads "not run" only where no attempt can have run.
+    """A caller is told "not run" only if no attempt can have run.
 
-    Attempts fail in any order. A sure refusal that follows a lost attempt
-    must not turn the answer into "not run", and a non-idempotent request
-    gets no attempt after one that may have run.
+    Attempts fail in any order. A refusal that follows a lost attempt must not
+    turn the answer into "not run", and a non-idempotent request gets no
+    attempt after one that may have run.
     """
     budget = RetryBudget(max_tokens=tokens)
-    attempts = Attempts(CallTerms(idempotent, 10.0), budget)
+    attempts = Attempts(RetryTerms(idempotent, 10.0), budget)
     now, may_have_run, retries = 0.0, False, 0
     for failure, progress, passed in steps:
         begun = attempts.begin(now)
@@ -49,16 +49,16 @@
             _check(begun.err_value.kind, may_have_run)
             return
         assert idempotent or not may_have_run
-        may_have_run = may_have_run or failure not in _SURE
+        may_have_run = may_have_run or failure not in _NOT_RUN_FAILURES
         now += passed
-        fault = attempts.judge(failure, progress, now)
+        fault = attempts.evaluate_failure(failure, progress, now)
         if fault is not None:
             _check(fault.kind, may_have_run)
             return
         assert progress is not Progress.PARTIAL
-        retries += failure not in _SURE
+        retries += failure not in _NOT_RUN_FAILURES
         assert retries <= tokens
-    ended = attempts.end_without_upstream(ErrorKind.OVERLOADED)
+    ended = attempts.make_no_upstream_fault(ErrorKind.OVERLOADED)
     _check(ended.kind, may_have_run)
 
 
@@ -80,17 +80,17 @@
 @example("٣")
 @example("1\n")
 @given(st.text(max_size=12))
-def test_headers_are_understood_or_refused(text: str) -> None:
+def test_headers_are_parsed_or_refused(text: str) -> None:
     for parsed in (parse_timeout(text, 5.0), parse_urgency(text)):
         if isinstance(parsed, Err):
             assert parsed.err_value.kind is ErrorKind.MALFORMED_REQUEST
 
 
-def test_what_headers_mean() -> None:
+def test_timeout_and_urgency_headers_are_parsed() -> None:
     assert parse_timeout("2.5", 5.0).unwrap() == 2.5
     assert parse_timeout(None, 5.0).unwrap() == 5.0
-    for wrong in ("soon", "nan", "-1", "0", "1e9", ""):
-        assert parse_timeout(wrong, 5.0).is_err(), wrong
+    for invalid in ("soon", "nan", "-1", "0", "1e9", ""):
+        assert parse_timeout(invalid, 5.0).is_err(), invalid
     assert parse_urgency("u=1, i").unwrap() == 1
     assert parse_urgency("i").unwrap() == 3
     assert parse_urgency("u=9").is_err()
--- a/tests/test_contents.py
+++ b/tests/test_contents.py
@@ -1,4 +1,4 @@
-"""Requests that are the same although callers name each attempt anew."""
+"""Tests of equal requests whose callers give each attempt another id."""
 
 import pytest
 from structlog.testing import capture_logs
@@ -6,11 +6,11 @@
 from tests.installation import Installation, run
 from zinniaspool.core.dispatch import identify_content
 
-_ASKED = ("POST", "/drafts/one?page=1", "care", b"{}")
+_REQUEST = ("POST", "/drafts/one?page=1", "care", b"{}")
 
 
 def test_the_same_content_has_the_same_id() -> None:
-    assert identify_content(*_ASKED) == identify_content(*_ASKED)
+    assert identify_content(*_REQUEST) == identify_content(*_REQUEST)
 
 
 @pytest.mark.parametrize(
@@ -26,11 +26,11 @@
 def test_another_caller_target_or_body_is_another_content(
     other: tuple[str, str, str | None, bytes],
 ) -> None:
-    assert identify_content(*_ASKED) != identify_content(*other)
+    assert identify_content(*_REQUEST) != identify_content(*other)
 
 
-def test_log_lines_tell_that_a_request_came_again() -> None:
-    """Guards against lines that name a repeat by its new id alone."""
+def test_log_lines_show_that_a_request_came_again() -> None:
+    """Guards against log lines that show only the new id of a request."""
 
     async def test() -> None:
         async with Installation.running(nodes=1) as made:
@@ -40,9 +40,9 @@
                 await made.draft("n0", request_id="second")
                 await made.ask("n0", "/receipts/one", request_id="other")
             ended = {
-                one["request"]: one["content"]
-                for one in lines
-                if one["event"] == "request-ended"
+                line["request"]: line["content"]
+                for line in lines
+                if line["event"] == "request-ended"
             }
             assert ended["first"] == ended["second"] != ended["other"]
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -284,7 +284,7 @@
         ),
     )
     terms = wire.read_terms(request)
-    assert (terms.patience_s, terms.prompt_tokens, terms.resume_after) == (
+    assert (terms.timeout_s, terms.prompt_tokens, terms.resume_after) == (
         None,
         0,
         None,
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -18,7 +18,7 @@
     RequestId,
     UpstreamId,
 )
-from zinniaspool.core.requests import CallTerms, Upstream, UpstreamPool, UpstreamReport
+from zinniaspool.core.requests import RetryTerms, Upstream, UpstreamPool, UpstreamReport
 from zinniaspool.entry.answers import answer_fault
 from zinniaspool.entry.relay import Relay, RelayedCall, RelayLimits
 from zinniaspool.entry.sinks import AnswerSink, KeepingSink
@@ -62,7 +62,7 @@
 
     async def run(self, sink: AnswerSink) -> Result[None, Fault]:
         deadline = asyncio.get_running_loop().time() + 5.0
-        terms = CallTerms(self._idempotent, deadline)
+        terms = RetryTerms(self._idempotent, deadline)
         customer = CustomerId("care")
         call = RelayedCall(RequestId("r1"), customer, "/generate", b"{}", terms)
         return await self._relay.run(sink, call, self._pool)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -9,11 +9,11 @@
     Brownout,
     CustomerShare,
     LocalShares,
-    Peers,
+    PeerCounts,
     Ticket,
     TicketState,
-    share_capacity,
-    share_locally,
+    compute_local_shares,
+    divide_capacity,
 )
 from zinniaspool.core.requests.digests import Digest, DigestTable, ServiceDemand
 
@@ -37,7 +37,7 @@
 def test_guarantees_come_first_and_no_wanted_capacity_stays_idle(
     capacity: int, shares: list[CustomerShare], demands: dict[CustomerId, float]
 ) -> None:
-    granted = share_capacity(float(capacity), shares, demands)
+    granted = divide_capacity(float(capacity), shares, demands)
     for share in shares:
         demand = demands[share.customer]
         assert granted[share.customer] >= min(demand, share.guaranteed) - 1e-6
@@ -65,8 +65,8 @@
         fresh = partition_of.count(partition_of[rank])
         here = dict.fromkeys(_NAMES, 100.0)
         others = dict.fromkeys(_NAMES, 100.0 * (fresh - 1))
-        peers = Peers(count, fresh, rank)
-        local = share_locally(capacity, shares, here, others, peers)
+        peers = PeerCounts(count, fresh, rank)
+        local = compute_local_shares(capacity, shares, here, others, peers)
         spare += local.spare
         for name in _NAMES:
             admitted[name] += int(local.limits[name])
@@ -83,7 +83,9 @@
     """Even a small guarantee is divided exactly between the processes."""
     totals = dict.fromkeys(_NAMES, 0.0)
     for rank in range(count):
-        local = share_locally(1000.0, shares, {}, {}, Peers(count, count, rank))
+        local = compute_local_shares(
+            1000.0, shares, {}, {}, PeerCounts(count, count, rank)
+        )
         for name in _NAMES:
             totals[name] += local.limits[name]
     assert totals == {share.customer: share.guaranteed for share in shares}
@@ -205,15 +207,15 @@
     demand = ServiceDemand("models/m", {_A: 4.0})
     table.record(Digest(NodeId("a"), (demand,)), 10.0)
     alive = [NodeId("a"), NodeId("b")]
-    assert table.describe_peers(alive, {}, 11.0) == Peers(2, 2, 1)
+    assert table.describe_peers(alive, {}, 11.0) == PeerCounts(2, 2, 1)
     assert table.sum_demands(11.0) == {"models/m": {_A: 4.0}}
-    assert table.describe_peers(alive, {}, 14.0) == Peers(2, 1, 1)
+    assert table.describe_peers(alive, {}, 14.0) == PeerCounts(2, 1, 1)
     assert table.sum_demands(14.0) == {}
     unresponsive_since = {NodeId("a"): 12.0}
-    assert table.describe_peers([NodeId("b")], unresponsive_since, 70.0) == Peers(
+    assert table.describe_peers([NodeId("b")], unresponsive_since, 70.0) == PeerCounts(
         2, 1, 1
     )
-    assert table.describe_peers([NodeId("b")], unresponsive_since, 73.0) == Peers(
+    assert table.describe_peers([NodeId("b")], unresponsive_since, 73.0) == PeerCounts(
         1, 1, 0
     )
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -35,7 +35,7 @@
         while data:
             size = reads[k % len(reads)]
             part, data, k = data[:size], data[size:], k + 1
-            received += cursor.take(part).unwrap()
+            received += cursor.feed(part).unwrap()
         # A stream that was cut before its first id cannot be resumed. The
         # relay ends it, so its bytes must not count here either.
         if cursor.last_id is None:
@@ -44,7 +44,7 @@
             break
         if received.endswith(_DONE.replace(b"\n", newline)):
             break
-    assert received + cursor.end() == _events(1, count, newline)
+    assert received + cursor.finish() == _events(1, count, newline)
 
 
 def test_a_stream_that_restarts_at_the_first_token_is_rejected() -> None:
@@ -53,12 +53,12 @@
     The second upstream ignores Last-Event-ID and starts at token 1.
     """
     cursor = EventCursor()
-    cursor.take(_events(1, 3)[: -len(_DONE)]).unwrap()
+    cursor.feed(_events(1, 3)[: -len(_DONE)]).unwrap()
     cursor.resume()
-    assert cursor.take(_events(1, 5)) == Err(StreamFault.NOT_RESUMED)
+    assert cursor.feed(_events(1, 5)) == Err(StreamFault.NOT_RESUMED)
 
 
 def test_an_event_without_an_end_is_rejected() -> None:
     cursor = EventCursor()
-    taken = cursor.take(b"data: " + b"x" * (1024 * 1024 + 1))
+    taken = cursor.feed(b"data: " + b"x" * (1024 * 1024 + 1))
     assert taken == Err(StreamFault.EVENT_TOO_LARGE)
