--- a/tools/try_safeguards.py
+++ b/tools/try_safeguards.py
@@ -59,20 +59,19 @@
         "if outcome is not TryOutcome.REFUSED:",
         "if False:",
         "tests/test_quarantine.py::"
-        "test_a_request_cut_where_no_upstream_ends_is_not_held_back",
+        "test_a_request_cut_where_no_upstream_ends_is_not_quarantined",
     ),
     Safeguard(
         "what is held back outlasts the processes",
         "src/zinniaspool/gateway/crashes.py",
         "self._records.add(content, found_here=seen_here)",
         "pass",
-        "tests/test_quarantine.py::"
-        "test_such_a_request_is_known_after_all_entry_processes_were_killed",
+        "tests/test_quarantine.py::test_a_quarantine_outlasts_all_entry_processes",
     ),
     Safeguard(
         "an answer clears a request of crashes",
         f"{CORE}/dispatch/quarantine.py",
-        "< SOUND_S:",
+        "< CLEARED_S:",
         "< 0.0:",
         "tests/test_quarantine.py::test_an_answer_clears_a_content",
     ),
@@ -84,9 +83,9 @@
         "tests/test_verdicts.py",
     ),
     Safeguard(
-        "a request leaves the fabric domain where its target stood still",
+        "a request leaves the fabric domain where its target stalled",
         f"{CORE}/dispatch/pools.py",
-        "if one.target.fabric_domain in doubted:",
+        "if state.target.fabric_domain in suspected_domains:",
         "if False:",
         "tests/test_dispatch.py",
     ),
@@ -152,13 +151,13 @@
     Safeguard(
         "repeats stay below what all processes may",
         f"{CORE}/dispatch/repeats.py",
-        "if repeats + 1 > allowed * SAFE_PART:",
+        "if retries + 1 > allowed * ALLOWANCE_PART:",
         "if False:",
         "tests/test_dispatch.py",
     ),
     Safeguard(
         "a call that may run once is not repeated after a loss",
-        f"{CORE}/requests/attempts.py",
+        f"{CORE}/dispatch/attempts.py",
         "        if not self._terms.idempotent:\n"
         "            return Fault(ErrorKind.UPSTREAM_LOST)\n",
         "",
@@ -187,7 +186,7 @@
     ),
     Safeguard(
         "a stream that stops inside an event is no whole answer",
-        f"{CORE}/requests/streams.py",
+        f"{CORE}/dispatch/streams.py",
         "whole, self._tail = data[:end], data[end:]",
         'whole, self._tail = data, b""',
         "tests/test_streams.py",
