--- a/src/zinniaspool/core/formation/__init__.py
+++ b/src/zinniaspool/core/formation/__init__.py
@@ -1,4 +1,8 @@
-"""Replica groups on engines that join, open, close, leave and stage."""
+"""Formation of replica groups on engines.
+
+The holder plans which VMs form which group and orders their engines to join,
+open, close, leave and stage models.
+"""
 
 from zinniaspool.core.formation.orders import (
     GroupOrder,
--- a/src/zinniaspool/core/formation/balance.py
+++ b/src/zinniaspool/core/formation/balance.py
@@ -1,10 +1,10 @@
-"""Which groups give their VMs to a model that needs them more.
+"""Finds groups whose VMs should be reassigned to a model that needs them more.
 
-Pattern: traffic shifts from one model to another, the first guess of the
-models' shares was wrong, or losses have hit one model more than the others.
+Traffic shifts from one model to another, the configured shares of the models
+are wrong at the start, or losses of VMs hit one model more than the others.
 Groups of one model are then full while others idle. A VM that has the other
-model staged changes within two seconds, so that a move is worth its short
-outage as soon as the fullest model gains clearly.
+model staged changes to it within two seconds. A reassignment is therefore
+worth its short outage as soon as the fullest model gains clearly.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -15,213 +15,231 @@
 
 __all__ = [
     "FULL_USE",
-    "Conversion",
-    "DomainShape",
+    "Reassignment",
+    "SettledDomain",
     "ModelDemand",
     "ServingGroup",
     "count_after_loss",
-    "find_conversion",
-    "find_conversions",
-    "measure_use",
+    "find_reassignment",
+    "find_reassignments",
+    "compute_max_utilization",
 ]
 
-WORTHWHILE = 0.85
-"""Largest part of the fullest model's use that may be left after a move: the
-moved group serves nobody for some seconds, and demand changes by itself by a
-tenth from second to second."""
+MAX_REMAINING_PART = 0.85
+"""Largest part of the highest utilization that a worthwhile reassignment may
+leave. The closed group's VMs serve no caller for a few seconds, and demand by
+itself changes by a tenth from second to second."""
 
-BUSY_USE = 0.95
-"""Use of its slots, with one group lost, from which a model's groups are worth
-adding to. Up to about this, measured on days with bursts, five requests in a
-thousand waited too long, and a move costs the other model more."""
+BUSY_UTILIZATION = 0.95
+"""Utilization after the loss of one group from which a model gets more groups.
+On days with bursts, five requests in a thousand waited too long up to about
+this utilization, and a reassignment costs the donor model more."""
 
-LOAD_USE = 1.2
-"""The same from which VMs may even load the model anew, over ten seconds:
-requests wait or are refused then although all groups serve."""
+LOADING_UTILIZATION = 1.2
+"""Utilization after the loss of one group from which VMs may even load the
+model from the weight store, for over ten seconds. Requests then wait or are
+refused although all groups serve."""
 
-MOVED_PART = 0.5
-"""Part of the domains that may give VMs at the same moment. A burst or several
-losses fill a model within two seconds, as long as one move takes, and each
-move is judged by what those before it bring."""
+MAX_DONOR_DOMAINS_PART = 0.5
+"""Part of the domains that may give up VMs at the same moment. A burst or
+several losses of VMs fill a model within two seconds, as long as one
+reassignment takes. Each reassignment counts the gain of those before it."""
 
 FULL_USE = 0.85
-"""Use of its slots from which requests of a model wait, whatever is lost."""
+"""Utilization from which requests of a model wait even if no group is lost."""
 
-LEFT_OF_FEW = 0.1
-"""What counts as left of no group, and for each of one: far below a whole one,
-so that a model that is about to serve nobody comes before all others."""
+MIN_REMAINING_GROUPS = 0.1
+"""Groups that count as remaining where a model has none; twice as many count
+where it has one and loses it. This is far below one group, so that a model
+that is about to serve no caller comes before all others."""
 
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """How much a model is used.
+    """The requests for a model.
 
     Attributes:
         spec: The model.
         slots: Slots of one group.
-        busy: Requests that run or wait, on average.
+        requests: Requests that run or wait, on average.
     """
 
     spec: ModelSpec
     slots: int
-    busy: float
+    requests: float
 
-    def use(self, groups: int) -> float:
-        """Return the used part of the slots when one of the groups is lost.
+    def compute_utilization(self, groups: int) -> float:
+        """Return the utilization of the slots after the loss of one group.
 
-        Groups are lost every few seconds on bad days. A model with two groups
-        is then full at once, at the same use of all its slots as one with
-        twelve that hardly notices.
+        On bad days a group is lost every few seconds. A model with two groups
+        is then full at once, while a model with twelve groups at the same
+        utilization of all its slots is hardly affected.
         """
-        return self.busy / (count_after_loss(groups) * self.slots)
+        return self.requests / (count_after_loss(groups) * self.slots)
 
 
 @dataclass(frozen=True, slots=True)
 class ServingGroup:
-    """A group that could be closed.
+    """A serving group that could be closed.
 
     Attributes:
-        group: Its name.
-        model: What it serves.
-        ready: How many of its VMs could hold each model within seconds.
+        group: The group's id.
+        model: The model that it serves.
+        ready_vms: How many of its VMs could load each model within seconds.
     """
 
     group: GroupId
     model: ModelName
-    ready: Mapping[ModelName, int]
+    ready_vms: Mapping[ModelName, int]
 
 
 @dataclass(frozen=True, slots=True)
-class DomainShape:
-    """A fabric domain in which nothing is under way.
+class SettledDomain:
+    """A fabric domain in which no group forms, closes or ends.
 
     Attributes:
         groups: Its serving groups.
-        idle: VMs in no serving group.
-        ready: How many of those could hold each model within seconds.
+        idle_vms: Its standby VMs, which are in no serving group.
+        ready_vms: How many standby VMs could load each model within seconds.
     """
 
     groups: Sequence[ServingGroup]
-    idle: int
-    ready: Mapping[ModelName, int]
+    idle_vms: int
+    ready_vms: Mapping[ModelName, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Conversion:
-    """Groups of one domain to close, and the model that their VMs are for.
+class Reassignment:
+    """Groups of one domain to close, and the model that their VMs serve next.
 
     Attributes:
-        groups: Which.
-        model: What their VMs serve next.
-        use: What is left of the fullest model's use after it.
-        loads: Whether some of the VMs load that model's weights first.
-        after: Groups of each model after it.
-        won: Groups that their VMs form.
+        groups: The groups to close.
+        model: The model that their VMs serve next.
+        max_utilization: The highest utilization of any model afterwards.
+        needs_loads: Whether VMs must load that model from the weight store.
+        groups_after: Groups of each model afterwards.
+        groups_gained: Groups of that model that the VMs form.
     """
 
     groups: tuple[GroupId, ...]
     model: ModelName
-    use: float
-    loads: bool
-    after: Mapping[ModelName, int]
-    won: int = 1
+    max_utilization: float
+    needs_loads: bool
+    groups_after: Mapping[ModelName, int]
+    groups_gained: int = 1
 
 
 def count_after_loss(groups: int) -> float:
-    """Return how many groups count as left when one of so many is lost."""
-    return max(groups - 1.0, LEFT_OF_FEW * (groups + 1))
+    """Return how many groups count as remaining after the loss of one."""
+    return max(groups - 1.0, MIN_REMAINING_GROUPS * (groups + 1))
 
 
-def measure_use(
+def compute_max_utilization(
     demands: Sequence[ModelDemand], groups: Mapping[ModelName, int]
 ) -> float:
-    """Return the use of the model whose groups are fullest."""
-    return max(one.use(groups.get(one.spec.name, 0)) for one in demands)
+    """Return the utilization of the model whose groups are fullest."""
+    return max(it.compute_utilization(groups.get(it.spec.name, 0)) for it in demands)
 
 
-def find_conversions(
+def find_reassignments(
     demands: Sequence[ModelDemand],
     groups: Mapping[ModelName, int],
-    domains: Sequence[DomainShape],
-) -> list[Conversion]:
-    """Return the groups to close now, at most one domain's for each move.
+    domains: Sequence[SettledDomain],
+) -> list[Reassignment]:
+    """Return the reassignments to start now, at most one in each domain.
 
-    Each move is judged by what the ones before it bring.
+    Each reassignment counts the gain of those before it.
+
+    Args:
+        demands: The demands of all models of one service.
+        groups: Groups of each model.
+        domains: The fabric domains where groups may be closed.
     """
-    found: list[Conversion] = []
+    found: list[Reassignment] = []
     left = list(domains)
-    while len(found) < MOVED_PART * len(domains):
-        best = find_conversion(demands, groups, left)
+    while len(found) < MAX_DONOR_DOMAINS_PART * len(domains):
+        best = find_reassignment(demands, groups, left)
         if best is None:
             break
         found.append(best)
-        groups = best.after
+        groups = best.groups_after
         left = [
-            one
-            for one in left
-            if not any(group.group in best.groups for group in one.groups)
+            domain
+            for domain in left
+            if not any(group.group in best.groups for group in domain.groups)
         ]
     return found
 
 
-def find_conversion(
+def find_reassignment(
     demands: Sequence[ModelDemand],
     groups: Mapping[ModelName, int],
-    domains: Sequence[DomainShape],
-) -> Conversion | None:
-    """Return the groups to close so that their VMs serve the fullest model.
+    domains: Sequence[SettledDomain],
+) -> Reassignment | None:
+    """Return the best reassignment of VMs to the fullest model, or None.
 
     Args:
-        demands: All models of one service.
-        groups: Groups of each.
+        demands: The demands of all models of one service.
+        groups: Groups of each model.
         domains: The fabric domains where groups may be closed.
     """
-    before = measure_use(demands, groups)
-    if before < BUSY_USE:
+    before = compute_max_utilization(demands, groups)
+    if before < BUSY_UTILIZATION:
         return None
-    fullest = max(demands, key=lambda one: one.use(groups.get(one.spec.name, 0)))
+    fullest = max(
+        demands, key=lambda it: it.compute_utilization(groups.get(it.spec.name, 0))
+    )
     found = [
-        conversion
+        reassignment
         for domain in domains
-        for giver in demands
-        if giver is not fullest
-        for conversion in _list_conversions(domain, giver, fullest, demands, groups)
+        for donor in demands
+        if donor is not fullest
+        for reassignment in _list_reassignments(domain, donor, fullest, demands, groups)
+    ]
+    worthwhile = [
+        each for each in found if each.max_utilization <= before * MAX_REMAINING_PART
     ]
-    worthwhile = [one for one in found if one.use <= before * WORTHWHILE]
-    return min(worthwhile, key=lambda one: (one.loads, one.use), default=None)
+    return min(
+        worthwhile, key=lambda it: (it.needs_loads, it.max_utilization), default=None
+    )
 
 
-def _list_conversions(
-    domain: DomainShape,
-    giver: ModelDemand,
-    taker: ModelDemand,
+def _list_reassignments(
+    domain: SettledDomain,
+    donor: ModelDemand,
+    recipient: ModelDemand,
     demands: Sequence[ModelDemand],
     groups: Mapping[ModelName, int],
-) -> Iterable[Conversion]:
-    """Yield what closing one, two and more of a domain's groups brings."""
-    wanted = taker.spec.name
+) -> Iterable[Reassignment]:
+    """Yield the reassignments of one, two and more of a donor's groups."""
+    model = recipient.spec.name
     closable = sorted(
-        (one for one in domain.groups if one.model == giver.spec.name),
-        key=lambda one: -one.ready.get(wanted, 0),
+        (group for group in domain.groups if group.model == donor.spec.name),
+        key=lambda it: -it.ready_vms.get(model, 0),
     )
-    free, ready = domain.idle, domain.ready.get(wanted, 0)
-    for count, one in enumerate(closable, start=1):
-        left = groups.get(giver.spec.name, 0) - count
-        if left < 1:
+    idle, ready = domain.idle_vms, domain.ready_vms.get(model, 0)
+    for count, group in enumerate(closable, start=1):
+        remaining = groups.get(donor.spec.name, 0) - count
+        if remaining < 1:
             return
-        free += giver.spec.size
-        ready += one.ready.get(wanted, 0)
-        won = ready // taker.spec.size
-        loads = not won
-        if loads and measure_use(demands, groups) >= LOAD_USE:
-            won = free // taker.spec.size
-        if not won:
+        idle += donor.spec.size
+        ready += group.ready_vms.get(model, 0)
+        gained = ready // recipient.spec.size
+        needs_loads = not gained
+        if (
+            needs_loads
+            and compute_max_utilization(demands, groups) >= LOADING_UTILIZATION
+        ):
+            gained = idle // recipient.spec.size
+        if not gained:
             continue
-        after = {
+        groups_after = {
             **groups,
-            giver.spec.name: left,
-            wanted: groups.get(wanted, 0) + won,
+            donor.spec.name: remaining,
+            model: groups.get(model, 0) + gained,
         }
-        closed = tuple(each.group for each in closable[:count])
-        use = measure_use(demands, after)
-        yield Conversion(closed, wanted, use, loads, after, won)
+        closed = tuple(it.group for it in closable[:count])
+        utilization = compute_max_utilization(demands, groups_after)
+        yield Reassignment(
+            closed, model, utilization, needs_loads, groups_after, gained
+        )
--- a/src/zinniaspool/core/formation/domains.py
+++ b/src/zinniaspool/core/formation/domains.py
@@ -1,4 +1,4 @@
-"""One fabric domain under the holder's care: its groups and its VMs."""
+"""One fabric domain that the holder plans: its groups and its idle VMs."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -6,145 +6,172 @@
 
 from zinniaspool.core.fleet import Instance, InstanceId, InstanceState
 from zinniaspool.core.formation.allocation import Candidate
-from zinniaspool.core.formation.balance import DomainShape, ServingGroup
-from zinniaspool.core.formation.census import Census
-from zinniaspool.core.formation.lifecycle import FleetSight, GroupRun
+from zinniaspool.core.formation.balance import ServingGroup, SettledDomain
+from zinniaspool.core.formation.census import VmInventory
+from zinniaspool.core.formation.lifecycle import GroupRun, InstanceView
 from zinniaspool.core.formation.records import DomainPlan, GroupPhase, GroupRecord
-from zinniaspool.core.formation.releases import ReleaseBook
+from zinniaspool.core.formation.releases import ReleaseTracker
 from zinniaspool.core.ids import FabricDomainId, GroupId, ModelName, ServiceName
 
-__all__ = ["REST_LOOK_S", "SETTLED", "PlannedDomain"]
+__all__ = ["REST_LOOK_S", "ACTIVE_PHASES", "PlannedDomain"]
 
 REST_LOOK_S = 0.25
-"""Pause between looks at a domain where nothing has changed and nothing is
-under way, in seconds. What its VMs are for may still change with demand, with
-the groups of other domains and with the weight store's room. Looked at with
-each change anywhere, 25 such domains cost 12 ms of each look."""
+"""Pause between scans of a domain where nothing has changed and no group forms
+or ends, in seconds. Which model its VMs should serve may still change with
+demand, with the groups of other domains and with the room for loads from the
+weight store. Scanning 25 such domains at each change anywhere takes 12 ms of
+each pass."""
 
-SETTLED = frozenset({GroupPhase.SERVING, GroupPhase.FORMING, GroupPhase.STANDBY})
-"""Phases of groups that serve or are about to."""
+ACTIVE_PHASES = frozenset({GroupPhase.SERVING, GroupPhase.FORMING, GroupPhase.STANDBY})
+"""Phases of groups that serve, stand by or are about to."""
 
-_AT_REST = frozenset({GroupPhase.SERVING, GroupPhase.STANDBY})
+_STABLE_PHASES = frozenset({GroupPhase.SERVING, GroupPhase.STANDBY})
+"""Phases in which a group waits for no order to take effect."""
 
 
 @dataclass(slots=True)
 class PlannedDomain:
-    """One fabric domain under this holder's care.
+    """One fabric domain that this holder plans.
 
     Attributes:
-        id: Which.
-        runs: Its groups under way.
+        id: The fabric domain.
+        runs: Its groups.
         unsaved: Whether its plan has changed since it was last written.
-        writing: Whether that is being written.
-        reserved: The model that freed VMs are kept for.
-        reserved_until: Until when, in seconds.
-        promised: Groups of it that those VMs are to form.
-        freed: Groups that were closed for it.
-        changed: Whether anything in it has changed since the last look.
-        looked_at: When that was, in seconds.
+        writing: Whether its plan is being written.
+        reserved_for: The model that freed VMs are reserved for, or None.
+        reserved_until: Time until which they are reserved, in seconds.
+        reserved_groups: Groups of that model that those VMs are to form.
+        donor_groups: Groups that were closed to free those VMs.
+        changed: Whether anything in it has changed since the last scan.
+        scanned_at: Time of the last scan, in seconds.
     """
 
     id: FabricDomainId
     runs: dict[GroupId, GroupRun] = field(default_factory=dict)
     unsaved: bool = False
     writing: bool = False
-    reserved: ModelName | None = None
+    reserved_for: ModelName | None = None
     reserved_until: float = 0.0
-    promised: int = 0
-    freed: set[GroupId] = field(default_factory=set)
+    reserved_groups: int = 0
+    donor_groups: set[GroupId] = field(default_factory=set)
     changed: bool = True
-    looked_at: float = float("-inf")
+    scanned_at: float = float("-inf")
 
     def is_due(self, now: float) -> bool:
-        """Tell whether it is to be looked at."""
-        if self.changed or now - self.looked_at >= REST_LOOK_S:
+        """Return whether the domain is due for a scan."""
+        if self.changed or now - self.scanned_at >= REST_LOOK_S:
             return True
-        return any(run.phase not in _AT_REST for run in self.runs.values())
+        return any(run.phase not in _STABLE_PHASES for run in self.runs.values())
 
-    def reserves(self, now: float) -> bool:
-        """Tell whether its VMs are kept for one model.
+    def has_reservation(self, now: float) -> bool:
+        """Return whether the domain's idle VMs are reserved for one model.
 
-        As long as a group that gives its VMs still ends, since its callers
-        may be served for seconds, and for a while after that.
+        They are reserved until ``reserved_until``, and longer while a donor
+        group still ends, since it may serve its callers for seconds.
         """
-        awaited = not self.freed.isdisjoint(self.runs)
-        return self.reserved is not None and (awaited or now < self.reserved_until)
+        donors_end = not self.donor_groups.isdisjoint(self.runs)
+        return self.reserved_for is not None and (
+            donors_end or now < self.reserved_until
+        )
 
     def make_plan(self) -> DomainPlan:
-        """Return its groups as they are written in the store."""
+        """Return the domain's groups as they are written to the store."""
         return DomainPlan(self.id, tuple(run.record for run in self.runs.values()))
 
-    def find_shape(self, service: ServiceName, sight: FleetSight) -> DomainShape | None:
-        """Return its shape, or None while anything happens there."""
+    def describe_if_settled(
+        self, service: ServiceName, view: InstanceView
+    ) -> SettledDomain | None:
+        """Return its groups and idle VMs, or None while a group changes.
+
+        Args:
+            service: The service whose groups are described.
+            view: The known instances.
+        """
         groups = []
-        idle = 0
+        idle_vms = 0
         ready: Counter[ModelName] = Counter()
         for run in self.runs.values():
             if run.record.service != service:
                 continue
             if run.record.standby and run.phase is not GroupPhase.STANDBY:
-                # A VM that has come in loads for many seconds; the others
+                # A newly arrived VM loads for many seconds. The other VMs
                 # need not wait for it.
                 continue
             if run.phase not in (GroupPhase.SERVING, GroupPhase.STANDBY):
                 return None
-            able = _count_ready(run.record, sight)
+            able = _count_ready(run.record, view)
             if run.record.standby:
-                idle += 1
+                idle_vms += 1
                 ready += able
             else:
                 record = run.record
                 groups.append(ServingGroup(record.group, record.model, able))
-        return DomainShape(groups, idle, ready)
+        return SettledDomain(groups, idle_vms, ready)
 
     def list_candidates(
-        self, instances: Iterable[Instance], census: Census, releases: ReleaseBook
+        self,
+        instances: Iterable[Instance],
+        inventory: VmInventory,
+        releases: ReleaseTracker,
     ) -> list[Candidate]:
-        """Return the VMs that may be taken for a group.
+        """Return the idle and standby VMs that may join a group.
 
         Args:
-            instances: Of this domain.
-            census: What is known of them.
-            releases: Tells which are in no group.
+            instances: The instances of this domain.
+            inventory: Which instances are unreachable, and their models.
+            releases: Knows which VMs have left their groups.
         """
         planned: dict[InstanceId, GroupRun] = {}
         for run in self.runs.values():
             for member in run.record.members:
                 planned[member] = run
         found = []
-        for one in instances:
-            if one.state is InstanceState.LEAVING or one.id in census.sight.lost:
+        for instance in instances:
+            if (
+                instance.state is InstanceState.LEAVING
+                or instance.id in inventory.view.unreachable
+            ):
                 continue
-            holds = planned.get(one.id)
-            if holds is None:
-                if not releases.is_free(one):
+            own_run = planned.get(instance.id)
+            if own_run is None:
+                if not releases.is_free(instance):
                     continue
-                found.append(Candidate(one, census.held.get(one.id), standby=False))
-            elif _stands_by(one, holds, releases):
-                held = census.held.get(one.id)
-                ready = holds.phase is GroupPhase.STANDBY
-                found.append(Candidate(one, held if ready else None, standby=True))
+                found.append(
+                    Candidate(
+                        instance,
+                        inventory.loaded_models.get(instance.id),
+                        standby=False,
+                    )
+                )
+            elif _is_available_standby(instance, own_run, releases):
+                model = inventory.loaded_models.get(instance.id)
+                ready = own_run.phase is GroupPhase.STANDBY
+                found.append(
+                    Candidate(instance, model if ready else None, standby=True)
+                )
         return found
 
 
-def _count_ready(record: GroupRecord, sight: FleetSight) -> Counter[ModelName]:
-    """Count the members that could hold each model within seconds."""
+def _count_ready(record: GroupRecord, view: InstanceView) -> Counter[ModelName]:
+    """Count the members that could load each model within seconds."""
     ready: Counter[ModelName] = Counter()
-    for one in record.members:
-        found = sight.find(one)
+    for member in record.members:
+        found = view.find_reachable(member)
         if found is not None:
             ready.update({record.model, *found.staged})
     return ready
 
 
-def _stands_by(one: Instance, run: GroupRun, releases: ReleaseBook) -> bool:
-    """Tell whether a VM stands by and may be taken for a group.
+def _is_available_standby(
+    instance: Instance, run: GroupRun, releases: ReleaseTracker
+) -> bool:
+    """Return whether a planned VM stands by and may join another group.
 
-    A plan may be older than what the VM does: while the store was down,
-    it may have joined a group that the plan does not know.
+    The plan may be older than the VM's state. While the store was down, the
+    VM may have joined a group that the plan does not name.
     """
     if not run.record.standby or run.phase is GroupPhase.ENDING:
         return False
-    held = one.membership
-    own = held is not None and held.group == run.record.group
-    return own or releases.is_free(one)
+    membership = instance.membership
+    stands_by = membership is not None and membership.group == run.record.group
+    return stands_by or releases.is_free(instance)
--- a/src/zinniaspool/core/formation/lifecycle.py
+++ b/src/zinniaspool/core/formation/lifecycle.py
@@ -1,4 +1,8 @@
-"""One group's way from joining to its end: the next orders it needs."""
+"""The phases of one replica group, from joining to its end, and its orders.
+
+Each step derives the group's phase from what its members report, and returns
+the orders that the phase needs.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -13,51 +17,53 @@
 from zinniaspool.core.formation.orders import GroupOrder, OrderAction, OrderOutcome
 from zinniaspool.core.formation.records import GroupPhase, GroupRecord
 
-__all__ = ["LEFT", "FleetSight", "GroupRun"]
+__all__ = ["LEFT_OUTCOMES", "InstanceView", "GroupRun"]
 
 RETRY_S = 0.5
-"""Seconds until an order without effect is given again. Answers take
-milliseconds and effects show in the store within tens of them, so that what
-is not seen by then was most likely lost."""
+"""Seconds until an order without effect is repeated. Answers take milliseconds
+and effects show in the store within tens of milliseconds, so an order whose
+effect does not show by then was most likely lost."""
 
 UNFIT_RETRY_S = 0.25
-"""Seconds until an order is given again that did not fit the engine's state:
-it is busy with one that ends in a moment."""
+"""Seconds until an order that did not fit the engine's state is repeated. The
+engine is busy with another order that ends in a moment."""
 
-CLOSE_S = 9.0
-"""Longest time that a closing group may take: callers wait eight seconds at
-most, and a leaving member stays for ten."""
+MAX_CLOSING_S = 9.0
+"""Longest time that a group may take to close, in seconds. Callers wait eight
+seconds at most, and a leaving member stays for ten seconds."""
 
 
 @dataclass(slots=True)
-class FleetSight:
-    """What the planner believes of the instances.
+class InstanceView:
+    """What the planner knows of the instances.
 
     Attributes:
-        instances: By their entries in the store.
-        lost: Those that answer nobody, though their entry may still be there.
+        instances: The instances by their records in the store.
+        unreachable: Instances that do not answer any process, though their
+            records may still be in the store.
     """
 
     instances: Mapping[InstanceId, Instance]
-    lost: set[InstanceId] = field(default_factory=set)
+    unreachable: set[InstanceId] = field(default_factory=set)
 
-    def find(self, instance: InstanceId) -> Instance | None:
-        """Return an instance that is there and answers, or None."""
-        return None if instance in self.lost else self.instances.get(instance)
+    def find_reachable(self, instance: InstanceId) -> Instance | None:
+        """Return a known instance that is not unreachable, or None."""
+        return None if instance in self.unreachable else self.instances.get(instance)
 
 
 @dataclass(slots=True)
 class GroupRun:
-    """A group under way.
+    """The state of one planned group, as the holder knows it.
 
     Attributes:
-        record: Its plan.
-        phase: How far it has come.
-        since: When that phase began, in seconds.
-        released: Members that are known to be out of it.
-        reason: Why it came to this phase, for a person.
-        stale: Whether an engine has seen a higher epoch than the group's.
-        reborn: Members that have started again since the group was planned.
+        record: The group as its plan has it.
+        phase: The group's phase.
+        since: Time at which that phase began, in seconds.
+        released: Members that are known to be out of the group.
+        reason: Why the group entered this phase, for a person.
+        epoch_stale: Whether an engine has seen a higher epoch than the
+            group's.
+        restarted: Members that have restarted since the group was planned.
     """
 
     record: GroupRecord
@@ -65,178 +71,199 @@
     since: float = 0.0
     released: set[InstanceId] = field(default_factory=set)
     reason: str = "planned"
-    stale: bool = False
-    reborn: set[InstanceId] = field(default_factory=set)
+    epoch_stale: bool = False
+    restarted: set[InstanceId] = field(default_factory=set)
     _must_release: set[InstanceId] = field(default_factory=set)
-    _not_held: set[InstanceId] = field(default_factory=set)
-    _given: dict[tuple[InstanceId, OrderAction], float] = field(default_factory=dict)
+    _leave_unfit: set[InstanceId] = field(default_factory=set)
+    _ordered_at: dict[tuple[InstanceId, OrderAction], float] = field(
+        default_factory=dict
+    )
 
-    def move(self, phase: GroupPhase, reason: str, now: float) -> None:
-        """Go to another phase."""
+    def enter_phase(self, phase: GroupPhase, reason: str, now: float) -> None:
+        """Enter another phase; all orders that it needs are due at once."""
         self.phase, self.reason, self.since = phase, reason, now
-        self._given.clear()
+        self._ordered_at.clear()
 
     @property
     def ended(self) -> bool:
-        """Whether all that could hold it have let it go."""
+        """Whether all members that must leave the group have left it."""
         return self.phase is GroupPhase.ENDING and self.released.issuperset(
             self._must_release
         )
 
-    def step(self, sight: FleetSight, now: float) -> list[GroupOrder]:
-        """Judge what is seen, and return the orders due now."""
-        self._judge(sight, now)
+    def step(self, view: InstanceView, now: float) -> list[GroupOrder]:
+        """Update the phase from the view, and return the orders due now."""
+        self._update_phase(view, now)
         match self.phase:
             case GroupPhase.FORMING:
-                return self._form(sight, now)
+                return self._list_forming_orders(view, now)
             case GroupPhase.CLOSING:
-                return self._give(self.record.head, OrderAction.CLOSE, now)
+                return self._order_if_due(self.record.head, OrderAction.CLOSE, now)
             case GroupPhase.ENDING:
-                return self._release(sight, now)
+                return self._list_release_orders(view, now)
         return []
 
-    def note(self, order: GroupOrder, outcome: OrderOutcome, now: float) -> None:
-        """Take an order's outcome."""
+    def on_order_outcome(
+        self, order: GroupOrder, outcome: OrderOutcome, now: float
+    ) -> None:
+        """Apply the outcome of an order about this group."""
         key = (order.instance, order.action)
         if outcome is OrderOutcome.UNFIT:
-            self._given[key] = now - RETRY_S + UNFIT_RETRY_S
+            self._ordered_at[key] = now - RETRY_S + UNFIT_RETRY_S
         if order.action is OrderAction.LEAVE:
-            if outcome in LEFT:
+            if outcome in LEFT_OUTCOMES:
                 self.released.add(order.instance)
             if outcome is OrderOutcome.UNFIT:
-                self._not_held.add(order.instance)
+                self._leave_unfit.add(order.instance)
         if order.action is OrderAction.JOIN and outcome is OrderOutcome.STALE:
-            self.stale = True
-            self.move(GroupPhase.ENDING, "epoch-stale", now)
+            self.epoch_stale = True
+            self.enter_phase(GroupPhase.ENDING, "epoch-stale", now)
 
-    # Judging.
+    # Phases.
 
-    def _judge(self, sight: FleetSight, now: float) -> None:
+    def _update_phase(self, view: InstanceView, now: float) -> None:
         if self.phase is GroupPhase.ENDING:
             return
-        if self.reborn:
-            # Its entry may still name the group, or name it again by a late
-            # order. What it held for the group is gone all the same, and the
-            # head serves on for nothing.
-            self.move(GroupPhase.ENDING, f"member-reborn:{min(self.reborn)}", now)
+        if self.restarted:
+            # The record of a restarted member may still name the group, or
+            # name it again after a late order. What the member had loaded for
+            # the group is gone all the same, and the head can finish no
+            # request.
+            self.enter_phase(
+                GroupPhase.ENDING, f"member-reborn:{min(self.restarted)}", now
+            )
             return
-        missing = [one for one in self.record.members if sight.find(one) is None]
+        missing = [
+            member
+            for member in self.record.members
+            if view.find_reachable(member) is None
+        ]
         if missing:
-            self.move(GroupPhase.ENDING, f"member-lost:{missing[0]}", now)
+            self.enter_phase(GroupPhase.ENDING, f"member-lost:{missing[0]}", now)
             return
-        leaving = [one for one in self.record.members if self._is_leaving(one, sight)]
+        leaving = [
+            member for member in self.record.members if self._is_leaving(member, view)
+        ]
         match self.phase:
             case GroupPhase.FORMING:
-                self._judge_forming(sight, leaving, now)
+                self._update_forming(view, leaving, now)
             case GroupPhase.SERVING:
-                self._judge_serving(sight, leaving, now)
+                self._update_serving(view, leaving, now)
             case GroupPhase.STANDBY:
-                held = self._held(self.record.head, sight)
-                if leaving or held is None:
-                    self.move(GroupPhase.ENDING, "standby-out", now)
+                membership = self._find_membership(self.record.head, view)
+                if leaving or membership is None:
+                    self.enter_phase(GroupPhase.ENDING, "standby-out", now)
             case GroupPhase.CLOSING:
-                held = self._held(self.record.head, sight)
-                closed = held is None or held.state in _CLOSED
-                if closed or now - self.since > CLOSE_S:
-                    self.move(GroupPhase.ENDING, self.reason, now)
+                membership = self._find_membership(self.record.head, view)
+                closed = membership is None or membership.state in _CLOSED_STATES
+                if closed or now - self.since > MAX_CLOSING_S:
+                    self.enter_phase(GroupPhase.ENDING, self.reason, now)
 
-    def _judge_forming(
-        self, sight: FleetSight, leaving: list[InstanceId], now: float
+    def _update_forming(
+        self, view: InstanceView, leaving: list[InstanceId], now: float
     ) -> None:
         if leaving:
-            self.move(GroupPhase.ENDING, f"member-leaving:{leaving[0]}", now)
+            self.enter_phase(GroupPhase.ENDING, f"member-leaving:{leaving[0]}", now)
             return
-        head = self._held(self.record.head, sight)
+        head = self._find_membership(self.record.head, view)
         if head is None:
             return
         if self.record.standby and head.state is MembershipState.READY:
-            self.move(GroupPhase.STANDBY, "ready", now)
+            self.enter_phase(GroupPhase.STANDBY, "ready", now)
         elif head.state is MembershipState.OPEN:
-            self.move(GroupPhase.SERVING, "open", now)
+            self.enter_phase(GroupPhase.SERVING, "open", now)
         elif head.state is MembershipState.BROKEN:
-            self.move(GroupPhase.ENDING, "broken", now)
+            self.enter_phase(GroupPhase.ENDING, "broken", now)
 
-    def _judge_serving(
-        self, sight: FleetSight, leaving: list[InstanceId], now: float
+    def _update_serving(
+        self, view: InstanceView, leaving: list[InstanceId], now: float
     ) -> None:
         if leaving:
-            self.move(GroupPhase.CLOSING, f"member-leaving:{leaving[0]}", now)
+            self.enter_phase(GroupPhase.CLOSING, f"member-leaving:{leaving[0]}", now)
             return
-        for one in self.record.members:
-            held = self._held(one, sight)
-            if held is None or held.state is MembershipState.BROKEN:
-                self.move(GroupPhase.ENDING, f"member-out:{one}", now)
+        for member in self.record.members:
+            membership = self._find_membership(member, view)
+            if membership is None or membership.state is MembershipState.BROKEN:
+                self.enter_phase(GroupPhase.ENDING, f"member-out:{member}", now)
                 return
-        head = self._held(self.record.head, sight)
+        head = self._find_membership(self.record.head, view)
         if head is not None and head.state is MembershipState.READY:
-            self.move(GroupPhase.FORMING, "closed", now)
+            self.enter_phase(GroupPhase.FORMING, "closed", now)
 
-    def _is_leaving(self, one: InstanceId, sight: FleetSight) -> bool:
-        found = sight.find(one)
+    def _is_leaving(self, member: InstanceId, view: InstanceView) -> bool:
+        found = view.find_reachable(member)
         return found is not None and found.state is InstanceState.LEAVING
 
-    def _held(self, one: InstanceId, sight: FleetSight) -> Membership | None:
-        """Return a member's own word on this group, or None."""
-        found = sight.find(one)
-        held = None if found is None else found.membership
-        if held is None:
+    def _find_membership(
+        self, member: InstanceId, view: InstanceView
+    ) -> Membership | None:
+        """Return a member's own report of its place in this group, or None."""
+        found = view.find_reachable(member)
+        membership = None if found is None else found.membership
+        if membership is None:
             return None
-        mine = (held.group, held.epoch) == (self.record.group, self.record.epoch)
-        return held if mine else None
+        is_this_group = (membership.group, membership.epoch) == (
+            self.record.group,
+            self.record.epoch,
+        )
+        return membership if is_this_group else None
 
-    # Ordering.
+    # Orders.
 
-    def _form(self, sight: FleetSight, now: float) -> list[GroupOrder]:
+    def _list_forming_orders(self, view: InstanceView, now: float) -> list[GroupOrder]:
         orders: list[GroupOrder] = []
         ready = 0
-        for one in self.record.members:
-            held = self._held(one, sight)
-            if held is None:
-                orders += self._give(one, OrderAction.JOIN, now)
-            elif held.state is MembershipState.READY:
+        for member in self.record.members:
+            membership = self._find_membership(member, view)
+            if membership is None:
+                orders += self._order_if_due(member, OrderAction.JOIN, now)
+            elif membership.state is MembershipState.READY:
                 ready += 1
-        # An open head takes requests at once, and no engine checks the other
-        # members: opened early, the group would run requests that nobody can
-        # finish. Only each member's own word counts.
+        # An open head accepts requests at once, and no engine checks the other
+        # members. A group opened early would run requests that it cannot
+        # finish, so only each member's own report of being ready counts.
         if ready == len(self.record.members) and not self.record.standby:
-            orders += self._give(self.record.head, OrderAction.OPEN, now)
+            orders += self._order_if_due(self.record.head, OrderAction.OPEN, now)
         return orders
 
-    def _release(self, sight: FleetSight, now: float) -> list[GroupOrder]:
-        self._note_released(sight)
+    def _list_release_orders(self, view: InstanceView, now: float) -> list[GroupOrder]:
+        self._update_released(view)
         orders = []
-        for one in self._must_release - self.released:
-            orders += self._give(one, OrderAction.LEAVE, now)
+        for member in self._must_release - self.released:
+            orders += self._order_if_due(member, OrderAction.LEAVE, now)
         return orders
 
-    def _note_released(self, sight: FleetSight) -> None:
-        """Find who must let the group go before its members are used again.
+    def _update_released(self, view: InstanceView) -> None:
+        """Update which members must leave before the VMs are used again.
 
-        An open head may serve on until it has left, so that with a head that
-        answers its own leaving is what counts. A head that answers nobody
-        can't be told anything; then each other member leaves, and no VM is
-        in two groups whatever that head still believes.
+        An open head may keep serving until it has left, so the group is
+        released once a head that answers has left it. An unreachable head
+        can't be ordered to leave. Each other member must leave then, so that
+        no VM is in two groups while that head still serves.
         """
         head = self.record.head
-        there = sight.find(head)
-        if there is not None:
+        found = view.find_reachable(head)
+        if found is not None:
             self._must_release = {head}
         else:
             self._must_release = {
-                one for one in self.record.members if sight.find(one) is not None
+                member
+                for member in self.record.members
+                if view.find_reachable(member) is not None
             }
-        for one in self._must_release & self._not_held:
-            if self._held(one, sight) is None:
-                self.released.add(one)
+        for member in self._must_release & self._leave_unfit:
+            if self._find_membership(member, view) is None:
+                self.released.add(member)
 
-    def _give(
+    def _order_if_due(
         self, instance: InstanceId, action: OrderAction, now: float
     ) -> list[GroupOrder]:
+        """Return an order, or nothing while it is too early to repeat it."""
         key = (instance, action)
-        given = self._given.get(key)
-        if given is not None and now - given < RETRY_S:
+        ordered_at = self._ordered_at.get(key)
+        if ordered_at is not None and now - ordered_at < RETRY_S:
             return []
-        self._given[key] = now
+        self._ordered_at[key] = now
         record = self.record
         if action is OrderAction.JOIN:
             return [
@@ -252,7 +279,9 @@
         return [GroupOrder(instance, action, record.group, record.epoch)]
 
 
-LEFT = frozenset({OrderOutcome.HOLDS, OrderOutcome.ACCEPTED, OrderOutcome.GONE})
-"""Answers to a leave order that show that the instance is not in the group."""
+LEFT_OUTCOMES = frozenset(
+    {OrderOutcome.HOLDS, OrderOutcome.ACCEPTED, OrderOutcome.GONE}
+)
+"""Outcomes of a leave order that show that the VM is in the group no more."""
 
-_CLOSED = frozenset({MembershipState.READY, MembershipState.BROKEN})
+_CLOSED_STATES = frozenset({MembershipState.READY, MembershipState.BROKEN})
--- a/src/zinniaspool/core/formation/orders.py
+++ b/src/zinniaspool/core/formation/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, and what is known of an order's outcome."""
+"""Orders to engines, and their outcomes."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,58 +10,60 @@
 
 
 class OrderAction(Enum):
-    """What an engine is told to do."""
+    """What an engine is ordered to do."""
 
     JOIN = "join"
-    """Become a member of a group and hold its model."""
+    """Become a member of a group and load its model."""
 
     OPEN = "open"
-    """Take requests, as a group's first member."""
+    """Accept requests, as the head of a group."""
 
     CLOSE = "close"
-    """Finish what runs and take nothing new."""
+    """Finish the running requests and accept no new ones."""
 
     LEAVE = "leave"
-    """Be a member no more, at once."""
+    """Leave the group at once."""
 
     STAGE = "stage"
-    """Bring a model into the host's memory."""
+    """Load a model into the host's memory."""
 
 
 class OrderOutcome(Enum):
-    """What is known of an order."""
+    """What is known of an order's effect."""
 
     HOLDS = "holds"
-    """What it asks for is so already."""
+    """The engine is already in the state that the order requests."""
 
     ACCEPTED = "accepted"
+    """The engine carries the order out."""
+
     UNFIT = "unfit"
-    """It does not fit the engine's state now."""
+    """The order does not fit the engine's present state."""
 
     STALE = "stale"
-    """The engine has seen a higher epoch."""
+    """The engine has seen a higher epoch than the order's."""
 
     GONE = "gone"
-    """Another instance has the address."""
+    """Another instance listens at the address."""
 
     REFUSED = "refused"
     UNANSWERED = "unanswered"
-    """It may be carried out, also seconds later."""
+    """The engine may carry the order out, also seconds later."""
 
     NOT_SENT = "not-sent"
 
 
 @dataclass(frozen=True, slots=True)
 class GroupOrder:
-    """One order.
+    """One order to an engine.
 
     Attributes:
-        instance: Who is to carry it out.
+        instance: The instance that is to carry the order out.
         action: What to do.
-        group: The group that it is about; None for staging.
+        group: The group that the order is about; None for staging.
         epoch: That group's epoch.
-        model: What to join with or to stage.
-        members: All members of the group, the first one taking its requests.
+        model: The model to join with or to stage; None for other actions.
+        members: All members of the group to join, the head first.
     """
 
     instance: InstanceId
--- a/src/zinniaspool/core/formation/planner.py
+++ b/src/zinniaspool/core/formation/planner.py
@@ -1,4 +1,9 @@
-"""The holder's decisions: which groups there are, and the orders they need."""
+"""Plans replica groups over all fabric domains and lists the orders they need.
+
+The planner runs in the holder. It receives the instances, the demand and the
+outcomes of orders, and returns the plans to store and the orders to send. It
+does no I/O itself and is driven with the current time.
+"""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable, Mapping
@@ -12,21 +17,21 @@
 from zinniaspool.core.formation.allocation import (
     ModelNeed,
     Selection,
-    select_groups,
+    select_group,
 )
 from zinniaspool.core.formation.balance import (
-    Conversion,
-    find_conversions,
+    Reassignment,
+    find_reassignments,
 )
-from zinniaspool.core.formation.census import Census
-from zinniaspool.core.formation.domains import REST_LOOK_S, SETTLED, PlannedDomain
+from zinniaspool.core.formation.census import VmInventory
+from zinniaspool.core.formation.domains import ACTIVE_PHASES, REST_LOOK_S, PlannedDomain
 from zinniaspool.core.formation.lifecycle import GroupRun
 from zinniaspool.core.formation.loads import LoadBudget
 from zinniaspool.core.formation.orders import GroupOrder, OrderOutcome
-from zinniaspool.core.formation.provision import Provision
+from zinniaspool.core.formation.provision import ModelProvisioning
 from zinniaspool.core.formation.records import DomainPlan, GroupPhase, GroupRecord
-from zinniaspool.core.formation.releases import ReleaseBook
-from zinniaspool.core.formation.staging import Staging
+from zinniaspool.core.formation.releases import ReleaseTracker
+from zinniaspool.core.formation.staging import StagingScheduler
 from zinniaspool.core.ids import (
     Epoch,
     FabricDomainId,
@@ -35,30 +40,37 @@
     ServiceName,
 )
 
-__all__ = ["FormationPlanner", "GroupMove", "PlanWrite"]
+__all__ = ["FormationPlanner", "PhaseTransition", "PlanWrite"]
 
-BALANCE_S = 2.0
-"""Shortest time between two moves of VMs from one model to another, in
-seconds: a move takes about this long, and its effect must be seen first."""
+REASSIGNMENT_INTERVAL_S = 2.0
+"""Shortest time between two reassignments of VMs from one model to another,
+in seconds. A reassignment takes about this long, and its effect must be seen
+before the next one is decided."""
 
-SOON_S = 3.0
-"""Within how many seconds a group that forms without loads serves."""
+FORMING_WITHOUT_LOADS_S = 3.0
+"""Time within which a group that forms without loads serves, in seconds."""
 
-RESERVED_S = 4.0
-"""For how long VMs are kept for the model that they were freed for, in
-seconds: callers of a closing group are served for a second or two."""
+RESERVATION_S = 4.0
+"""Time for which VMs stay reserved for the model that they were freed for, in
+seconds. A closing group serves its callers for a second or two."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlanWrite:
-    """A plan that must be in the store before its orders are given."""
+    """A plan that must be in the store before its orders are sent."""
 
     plan: DomainPlan
 
 
 @dataclass(frozen=True, slots=True)
-class GroupMove:
-    """A group that came to another phase, for the log."""
+class PhaseTransition:
+    """A group's change to another phase, for the log.
+
+    Attributes:
+        record: The group.
+        phase: The phase that it enters.
+        reason: Why it enters the phase, for a person.
+    """
 
     record: GroupRecord
     phase: GroupPhase
@@ -66,54 +78,61 @@
 
 
 class FormationPlanner:
-    """Forms groups and keeps them, over all fabric domains.
+    """Forms and maintains the replica groups of all fabric domains.
 
-    Orders about a group leave only after the plan that names it is in the
-    store: whoever takes over reads there what may have been ordered.
+    Orders about a group are sent only after the plan that names it is in the
+    store, since the next holder reads there what may have been ordered.
 
     Args:
         next_epoch: Returns an epoch above all that were ever used.
-        load_window_s: Over how long loads of weights are counted.
-        free_until: Until when loads are not counted, in seconds.
-        on_move: Told of each group that comes to another phase.
+        load_window_s: Length of the window in which loads from the weight
+            store are counted, in seconds.
+        loads_unlimited_until: Time until which loads are not counted, in
+            seconds.
+        on_transition: Called for each group that enters another phase.
 
     Attributes:
-        domains_looked_at: How many domains all looks together went through.
+        domains_scanned: Domains that all passes together went through.
     """
 
     def __init__(
         self,
         next_epoch: Callable[[], Epoch],
         load_window_s: float,
-        free_until: float = float("-inf"),
-        on_move: Callable[[GroupMove], None] = lambda _: None,
+        loads_unlimited_until: float = float("-inf"),
+        on_transition: Callable[[PhaseTransition], None] = lambda _: None,
     ) -> None:
         self._next_epoch = next_epoch
         self._load_window_s = load_window_s
-        self._free_until = free_until
-        self._on_move = on_move
+        self._loads_unlimited_until = loads_unlimited_until
+        self._on_transition = on_transition
         self._domains: dict[FabricDomainId, PlannedDomain] = {}
-        self._census = Census()
-        self._sight = self._census.sight
+        self._inventory = VmInventory()
+        self._view = self._inventory.view
         self._engines: dict[ServiceName, EngineSpec] = {}
         self._loads: dict[ServiceName, LoadBudget] = {}
-        self._provision = Provision(self._domains)
-        self._releases = ReleaseBook()
-        self._staging = Staging(self._sight, self._loads)
-        self._balanced_at = float("-inf")
-        self._weighed_at = float("-inf")
-        self._held_back_until = float("-inf")
-        self.domains_looked_at = 0
+        self._provisioning = ModelProvisioning(self._domains)
+        self._releases = ReleaseTracker()
+        self._staging = StagingScheduler(self._view, self._loads)
+        self._reassigned_at = float("-inf")
+        self._balance_checked_at = float("-inf")
+        self._formation_deferred_until = float("-inf")
+        self.domains_scanned = 0
 
-    # What the shell tells.
+    # Input.
 
     def configure(
         self, engines: Mapping[ServiceName, EngineSpec], now: float = 0.0
     ) -> None:
-        """Take the services whose groups are to be formed."""
+        """Set the services whose groups are formed.
+
+        Args:
+            engines: The engines of each service.
+            now: Current time, in seconds.
+        """
         if engines != self._engines:
             self._engines = dict(engines)
-            self._sort_instances()
+            self._group_instances()
             for domain in self._domains.values():
                 domain.changed = True
         for service, engine in engines.items():
@@ -122,289 +141,305 @@
                     engine.loads_per_s,
                     engine.loads_at_once,
                     self._load_window_s,
-                    self._free_until,
+                    self._loads_unlimited_until,
                 )
                 if self._domains:
-                    self._loads[service].assume_used(now)
+                    self._loads[service].assume_exhausted(now)
 
     def restore(self, plans: Iterable[DomainPlan]) -> None:
-        """Take the plans that a former holder left."""
+        """Adopt the plans that the previous holder left in the store."""
         for plan in plans:
             domain = self._domains.setdefault(plan.domain, PlannedDomain(plan.domain))
-            domain.runs = {one.group: GroupRun(one) for one in plan.groups}
+            domain.runs = {record.group: GroupRun(record) for record in plan.groups}
             domain.unsaved, domain.writing, domain.changed = False, False, True
-        self._provision.note_moved()
+        self._provisioning.on_groups_changed()
 
-    def see(self, instances: Mapping[InstanceId, Instance]) -> None:
-        """Take the instances as the store has them now."""
-        change = self._census.see(instances)
+    def update_instances(self, instances: Mapping[InstanceId, Instance]) -> None:
+        """Replace the known instances by those now in the store."""
+        change = self._inventory.update_instances(instances)
         if change is None:
             return
-        for one in change.gone:
-            self._staging.forget(one)
-        for one in change.reborn:
-            self._forget(one)
+        for instance in change.removed:
+            self._staging.forget(instance)
+        for instance in change.restarted:
+            self._on_restart(instance)
         for domain in change.domains:
-            self._touch(domain)
-        self._sort_instances()
+            self._mark_domain_changed(domain)
+        self._group_instances()
 
-    def _sort_instances(self) -> None:
-        for domain in self._census.sort(self._engines):
+    def _group_instances(self) -> None:
+        for domain in self._inventory.group_by_domain(self._engines):
             if domain not in self._domains:
                 self._domains[domain] = PlannedDomain(domain)
 
-    def _touch(self, domain: FabricDomainId | None) -> None:
-        """Have a domain looked at next time."""
-        kept = None if domain is None else self._domains.get(domain)
-        if kept is not None:
-            kept.changed = True
+    def _mark_domain_changed(self, domain: FabricDomainId | None) -> None:
+        """Have the next pass scan a domain."""
+        planned = None if domain is None else self._domains.get(domain)
+        if planned is not None:
+            planned.changed = True
 
-    def _touch_domain_of(self, instance: InstanceId) -> None:
-        self._touch(self._census.find_domain(instance))
+    def _mark_instance_changed(self, instance: InstanceId) -> None:
+        self._mark_domain_changed(self._inventory.find_domain(instance))
 
-    def _forget(self, instance: InstanceId) -> None:
-        """Forget a VM's earlier life: it is in no group and holds no model."""
+    def _on_restart(self, instance: InstanceId) -> None:
+        """Forget a restarted VM: it is in no group and has no model loaded."""
         self._staging.forget(instance)
-        self._releases.forget(instance)
-        for run in self.runs():
+        self._releases.on_restart(instance)
+        for run in self.list_runs():
             if instance in run.record.members:
-                run.reborn.add(instance)
+                run.restarted.add(instance)
 
     def set_demand(self, demand: Mapping[tuple[ServiceName, ModelName], float]) -> None:
-        """Take how many requests of each model run or wait, on average."""
-        self._provision.set_demand(demand)
+        """Set how many requests of each model run or wait, on average."""
+        self._provisioning.set_demand(demand)
 
-    def lose(self, instance: InstanceId) -> None:
-        """Take an instance for lost that answers nobody."""
-        self._sight.lost.add(instance)
-        self._touch_domain_of(instance)
+    def mark_unreachable(self, instance: InstanceId) -> None:
+        """Record that an instance does not answer any process."""
+        self._view.unreachable.add(instance)
+        self._mark_instance_changed(instance)
 
-    def regain(self, instance: InstanceId) -> None:
-        """Take back an instance that answers again."""
-        self._sight.lost.discard(instance)
-        self._touch_domain_of(instance)
+    def mark_reachable(self, instance: InstanceId) -> None:
+        """Record that an unreachable instance answers again."""
+        self._view.unreachable.discard(instance)
+        self._mark_instance_changed(instance)
 
     @property
-    def lost(self) -> frozenset[InstanceId]:
-        """Instances that answer nobody though their entries are there."""
-        return frozenset(self._sight.lost)
+    def unreachable(self) -> frozenset[InstanceId]:
+        """Instances that do not answer though their records are there."""
+        return frozenset(self._view.unreachable)
 
-    def note(self, order: GroupOrder, outcome: OrderOutcome, now: float) -> None:
-        """Take an order's outcome."""
-        self._touch_domain_of(order.instance)
+    def on_order_outcome(
+        self, order: GroupOrder, outcome: OrderOutcome, now: float
+    ) -> None:
+        """Apply an order's outcome."""
+        self._mark_instance_changed(order.instance)
         for domain in self._domains.values():
             run = None if order.group is None else domain.runs.get(order.group)
             if run is not None:
-                run.note(order, outcome, now)
+                run.on_order_outcome(order, outcome, now)
                 domain.changed = True
-                self._provision.note_moved()
-        self._releases.note(order, outcome)
+                self._provisioning.on_groups_changed()
+        self._releases.on_order_outcome(order, outcome)
 
-    def note_saved(self, domain: FabricDomainId) -> None:
-        """Take that a domain's plan is in the store."""
+    def on_plan_saved(self, domain: FabricDomainId) -> None:
+        """Record that a domain's plan is in the store."""
         self._domains[domain].writing = False
         self._domains[domain].changed = True
 
-    def note_unsaved(self, domain: FabricDomainId) -> None:
-        """Take that a domain's plan could not be written yet."""
-        kept = self._domains[domain]
-        kept.writing, kept.unsaved, kept.changed = False, True, True
+    def on_plan_not_saved(self, domain: FabricDomainId) -> None:
+        """Record that writing a domain's plan failed and is due again."""
+        planned = self._domains[domain]
+        planned.writing, planned.unsaved, planned.changed = False, True, True
 
     def find_group(self, instance: InstanceId) -> GroupRecord | None:
-        """Return the group that an instance is planned in, or None."""
-        for run in self.runs():
+        """Return the group whose plan names an instance, or None."""
+        for run in self.list_runs():
             if instance in run.record.members:
                 return run.record
         return None
 
-    def runs(self) -> list[GroupRun]:
-        """Return all groups under way."""
+    def list_runs(self) -> list[GroupRun]:
+        """Return the groups of all domains."""
         return [
             run for domain in self._domains.values() for run in domain.runs.values()
         ]
 
-    # Deciding.
+    # Decisions.
 
-    def hold_back(self, until: float) -> None:
-        """Form nothing until then: the VMs that there are still come in."""
-        self._held_back_until = until
+    def defer_formation(self, until: float) -> None:
+        """Form no group until a time, since VMs are still being reported."""
+        self._formation_deferred_until = until
 
     def step(self, now: float) -> tuple[list[PlanWrite], list[GroupOrder]]:
-        """Return the plans to write and the orders to give now."""
-        self._census.note_arrivals(now)
+        """Return the plans to write and the orders to send now."""
+        self._inventory.record_arrivals(now)
         writes: list[PlanWrite] = []
-        orders = self._release_strays(now)
-        self._balance(now)
-        due = [one for one in self._order_domains() if one.is_due(now)]
-        self.domains_looked_at += len(due)
+        orders = self._list_orphan_releases(now)
+        self._reassign_vms(now)
+        due = [planned for planned in self._sort_domains() if planned.is_due(now)]
+        self.domains_scanned += len(due)
         for domain in due:
-            domain.changed, domain.looked_at = False, now
-            self._advance(domain, orders, now)
+            domain.changed, domain.scanned_at = False, now
+            self._advance_groups(domain, orders, now)
         for domain in due:
-            if domain.writing or now < self._held_back_until:
+            if domain.writing or now < self._formation_deferred_until:
                 continue
-            self._allocate(domain, self._census.list_domain(domain.id), now)
+            self._allocate(domain, self._inventory.list_instances(domain.id), now)
             if domain.unsaved:
                 domain.unsaved, domain.writing = False, True
                 writes.append(PlanWrite(domain.make_plan()))
-            orders += self._staging.stage(domain.runs.values(), self._engines, now)
+            orders += self._staging.list_staging_orders(
+                domain.runs.values(), self._engines, now
+            )
         return writes, orders
 
-    def _balance(self, now: float) -> None:
-        """Close a group whose VMs another model needs more."""
-        if now - self._balanced_at < BALANCE_S:
+    def _reassign_vms(self, now: float) -> None:
+        """Close groups whose VMs another model needs more."""
+        if now - self._reassigned_at < REASSIGNMENT_INTERVAL_S:
             return
-        if now - self._weighed_at < REST_LOOK_S:
+        if now - self._balance_checked_at < REST_LOOK_S:
             return
-        self._weighed_at = now
+        self._balance_checked_at = now
         for service, engine in self._engines.items():
-            demands = self._provision.list_demands(service, engine)
-            if sum(one.busy for one in demands) < engine.slots:
+            demands = self._provisioning.list_demands(service, engine)
+            if sum(demand.requests for demand in demands) < engine.slots:
                 continue
-            shapes = [
-                shape
+            settled = [
+                found
                 for domain in self._domains.values()
-                if (shape := domain.find_shape(service, self._sight)) is not None
+                if (found := domain.describe_if_settled(service, self._view))
+                is not None
             ]
-            groups = self._provision.count_groups(service, now - SOON_S)
-            groups += self._provision.count_promised(now)
-            for chosen in find_conversions(demands, groups, shapes):
-                self._balanced_at = now
-                self._convert(chosen, engine, now)
-
-    def _convert(self, chosen: Conversion, engine: EngineSpec, now: float) -> None:
-        spec = engine.find_model(chosen.model)
-        load_s = spec.load_s if spec is not None and chosen.loads else 0.0
+            groups = self._provisioning.count_groups(
+                service, now - FORMING_WITHOUT_LOADS_S
+            )
+            groups += self._provisioning.count_reserved_groups(now)
+            for chosen in find_reassignments(demands, groups, settled):
+                self._reassigned_at = now
+                self._start_reassignment(chosen, engine, now)
+
+    def _start_reassignment(
+        self, chosen: Reassignment, engine: EngineSpec, now: float
+    ) -> None:
+        model = engine.find_model(chosen.model)
+        load_s = model.load_s if model is not None and chosen.needs_loads else 0.0
         for domain in self._domains.values():
-            freed = domain.runs.keys() & set(chosen.groups)
-            if not freed:
+            donors = domain.runs.keys() & set(chosen.groups)
+            if not donors:
                 continue
-            # The closed groups end one after the other; the VMs of the first
-            # would go back to the model that gave them before there are
-            # enough. And while they load, their model is as short as before:
-            # unless the groups they are to form count, another one gives its
-            # VMs every other second, and serves nobody either.
-            domain.reserved, domain.promised = chosen.model, chosen.won
-            domain.reserved_until = now + RESERVED_S + load_s
-            domain.freed |= freed
-        for run in self.runs():
+            # The closed groups end one after the other. Without the
+            # reservation, the VMs of the first one would go back to the donor
+            # model before there are enough VMs for a group of the recipient.
+            # While they load, the recipient is as short of groups as before.
+            # Unless the groups that they will form count, another group gives
+            # up its VMs every other second and serves no caller either.
+            domain.reserved_for, domain.reserved_groups = (
+                chosen.model,
+                chosen.groups_gained,
+            )
+            domain.reserved_until = now + RESERVATION_S + load_s
+            domain.donor_groups |= donors
+        for run in self.list_runs():
             if run.record.group in chosen.groups:
-                run.move(GroupPhase.CLOSING, f"balance:{chosen.model}", now)
-                self._provision.note_moved()
-                self._on_move(GroupMove(run.record, run.phase, run.reason))
+                run.enter_phase(GroupPhase.CLOSING, f"balance:{chosen.model}", now)
+                self._provisioning.on_groups_changed()
+                self._on_transition(PhaseTransition(run.record, run.phase, run.reason))
 
     def _list_open_needs(
         self, domain: PlannedDomain, service: ServiceName, now: float
     ) -> list[ModelNeed]:
-        """Return the models that a domain's idle VMs may serve now."""
-        needs = self._provision.list_needs(service, self._engines[service])
-        if not domain.reserves(now):
+        """Return the needs of the models that its idle VMs may serve now."""
+        needs = self._provisioning.list_needs(service, self._engines[service])
+        if not domain.has_reservation(now):
             return needs
-        return [need for need in needs if need.spec.name == domain.reserved]
+        return [need for need in needs if need.spec.name == domain.reserved_for]
 
-    def _order_domains(self) -> list[PlannedDomain]:
-        # The domain with the fewest groups first, so that loads are not all
-        # spent on one.
-        return sorted(self._domains.values(), key=lambda one: (len(one.runs), one.id))
+    def _sort_domains(self) -> list[PlannedDomain]:
+        # The domain with the fewest groups comes first, so that one domain
+        # does not use up the load budget.
+        return sorted(self._domains.values(), key=lambda it: (len(it.runs), it.id))
 
-    def _advance(
+    def _advance_groups(
         self, domain: PlannedDomain, orders: list[GroupOrder], now: float
     ) -> None:
         if domain.writing:
-            # What is ordered now may belong to a plan that is not there yet.
+            # Orders may belong to a plan that is not in the store yet.
             return
         for group, run in list(domain.runs.items()):
             before = run.phase
-            due = run.step(self._sight, now)
+            due = run.step(self._view, now)
             if run.phase is not before:
-                self._provision.note_moved()
-                self._on_move(GroupMove(run.record, run.phase, run.reason))
+                self._provisioning.on_groups_changed()
+                self._on_transition(PhaseTransition(run.record, run.phase, run.reason))
             if run.phase in (GroupPhase.SERVING, GroupPhase.STANDBY):
-                self._end_loads(run.record)
+                self._record_loads_ended(run.record)
             if run.ended:
-                # The plan is written anew with the next group; until then a
-                # successor only asks the head once more to leave.
+                # The plan without this group is written with the domain's
+                # next group. A holder that takes over before then only orders
+                # the head to leave once more.
                 del domain.runs[group]
                 domain.changed = True
-                self._releases.remember_end(run)
-                self._end_loads(run.record)
+                self._releases.record_group_end(run)
+                self._record_loads_ended(run.record)
                 continue
             orders += due
 
-    def _end_loads(self, record: GroupRecord) -> None:
+    def _record_loads_ended(self, record: GroupRecord) -> None:
         budget = self._loads.get(record.service)
         if budget is not None:
-            for one in record.members:
-                budget.end(one)
+            for member in record.members:
+                budget.record_end(member)
 
     def _allocate(
         self, domain: PlannedDomain, instances: list[Instance], now: float
     ) -> None:
         by_service: defaultdict[ServiceName, list[Instance]] = defaultdict(list)
-        for one in instances:
-            by_service[one.service].append(one)
-        for service, members in by_service.items():
-            while self._allocate_one(domain, service, members, now):
+        for instance in instances:
+            by_service[instance.service].append(instance)
+        for service, of_service in by_service.items():
+            while self._allocate_next(domain, service, of_service, now):
                 pass
 
-    def _allocate_one(
+    def _allocate_next(
         self,
         domain: PlannedDomain,
         service: ServiceName,
         instances: list[Instance],
         now: float,
     ) -> bool:
-        candidates = domain.list_candidates(instances, self._census, self._releases)
+        candidates = domain.list_candidates(instances, self._inventory, self._releases)
         if not candidates:
             return False
-        here = Counter(
+        groups_here = Counter(
             run.record.model
             for run in domain.runs.values()
-            if not run.record.standby and run.phase in SETTLED
+            if not run.record.standby and run.phase in ACTIVE_PHASES
         )
-        standing = Counter(
+        standby_vms = Counter(
             run.record.model
             for run in domain.runs.values()
-            if run.record.standby and run.phase in SETTLED
+            if run.record.standby and run.phase in ACTIVE_PHASES
         )
-        chosen = select_groups(
+        chosen = select_group(
             candidates,
             self._list_open_needs(domain, service, now),
-            standing,
-            here,
-            more_expected=self._expects_more(domain, now),
+            standby_vms,
+            groups_here,
+            more_vms_expected=self._expects_idle_vms(domain, now),
         )
-        if chosen is None or not self._take_loads(service, chosen, now):
+        if chosen is None or not self._start_loads(service, chosen, now):
             return False
-        if not chosen.standby and chosen.model.name == domain.reserved:
-            domain.promised -= 1
-        if domain.promised <= 0:
-            domain.reserved = None
-            domain.freed.clear()
-        self._add(domain, service, chosen, now)
+        if not chosen.standby and chosen.model.name == domain.reserved_for:
+            domain.reserved_groups -= 1
+        if domain.reserved_groups <= 0:
+            domain.reserved_for = None
+            domain.donor_groups.clear()
+        self._add_group(domain, service, chosen, now)
         return True
 
-    def _expects_more(self, domain: PlannedDomain, now: float) -> bool:
-        """Tell whether VMs are about to become idle in a domain."""
-        return domain.reserves(now) or self._census.expects_more(domain.id, now)
+    def _expects_idle_vms(self, domain: PlannedDomain, now: float) -> bool:
+        """Return whether more VMs are about to become idle in a domain."""
+        return domain.has_reservation(now) or self._inventory.expects_more_vms(
+            domain.id, now
+        )
 
-    def _take_loads(self, service: ServiceName, chosen: Selection, now: float) -> bool:
+    def _start_loads(self, service: ServiceName, chosen: Selection, now: float) -> bool:
         if not chosen.loads:
             return True
         budget = self._loads[service]
         if not budget.has_room(len(chosen.loads), now):
             return False
-        for one in chosen.loads:
-            budget.start(one, now, chosen.model.load_s)
+        for instance in chosen.loads:
+            budget.record_start(instance, now, chosen.model.load_s)
         return True
 
-    def _add(
+    def _add_group(
         self, domain: PlannedDomain, service: ServiceName, chosen: Selection, now: float
     ) -> None:
-        for one in chosen.members:
-            # A VM that stood by leaves its own group by joining another.
+        for member in chosen.members:
+            # A standby VM leaves its standby group by joining another group.
             for group, run in list(domain.runs.items()):
-                if run.record.standby and one in run.record.members:
+                if run.record.standby and member in run.record.members:
                     del domain.runs[group]
         epoch = self._next_epoch()
         group = GroupId(f"g{epoch}")
@@ -412,17 +447,17 @@
             group, epoch, service, chosen.model.name, chosen.members, chosen.standby
         )
         domain.runs[group] = GroupRun(record, since=now)
-        self._provision.note_moved()
+        self._provisioning.on_groups_changed()
         domain.unsaved = True
-        self._on_move(GroupMove(record, GroupPhase.FORMING, "planned"))
+        self._on_transition(PhaseTransition(record, GroupPhase.FORMING, "planned"))
 
-    def _release_strays(self, now: float) -> list[GroupOrder]:
-        """Return orders that free instances of groups that no plan names."""
-        groups = {run.record.group for run in self.runs()}
-        planned = {one for run in self.runs() for one in run.record.members}
+    def _list_orphan_releases(self, now: float) -> list[GroupOrder]:
+        """Return orders that release instances from groups in no plan."""
+        groups = {run.record.group for run in self.list_runs()}
+        planned = {member for run in self.list_runs() for member in run.record.members}
         unplanned = [
-            one
-            for one in self._sight.instances.values()
-            if one.id not in planned and one.service in self._engines
+            instance
+            for instance in self._view.instances.values()
+            if instance.id not in planned and instance.service in self._engines
         ]
-        return self._releases.find_strays(unplanned, groups, self._sight, now)
+        return self._releases.list_orphan_releases(unplanned, groups, self._view, now)
--- a/src/zinniaspool/core/formation/records.py
+++ b/src/zinniaspool/core/formation/records.py
@@ -1,4 +1,4 @@
-"""Plans of replica groups, as they last in the store."""
+"""Plans of replica groups, as the store keeps them."""
 
 from enum import Enum
 
@@ -11,33 +11,36 @@
 
 
 class GroupPhase(Enum):
-    """How far a group has come, as its holder sees it."""
+    """The phase of a group, as the holder knows it."""
 
     FORMING = "forming"
-    """Members join; it is opened once all of them report ready."""
+    """The members join; the group is opened once all of them report ready."""
 
     SERVING = "serving"
+    """The head is open and accepts requests."""
+
     STANDBY = "standby"
-    """A single VM that holds the model, so that it can replace a lost member
-    within a fraction of a second. It is never opened."""
+    """A single VM has the model loaded, so that it can replace an unreachable
+    member within a fraction of a second. It is never opened."""
 
     CLOSING = "closing"
-    """It finishes what runs, since a member leaves or moves."""
+    """The group finishes its running requests, since a member leaves or the
+    VMs are reassigned."""
 
     ENDING = "ending"
-    """A member is lost: the others are released from it."""
+    """The group is given up, and its members are released from it."""
 
 
 class GroupRecord(msgspec.Struct, frozen=True):
     """One group of a plan.
 
     Attributes:
-        group: Its name, never used again.
-        epoch: Its fencing number.
-        service: What it answers for.
-        model: What it serves.
-        members: Its VMs' instances, the one that takes requests first.
-        standby: Whether it only holds the model.
+        group: The group's id, which is never used again.
+        epoch: The group's fencing token.
+        service: The service that it belongs to.
+        model: The model that it serves.
+        members: The instances of its VMs, the head first.
+        standby: Whether it is a standby VM, which only has the model loaded.
     """
 
     group: GroupId
@@ -49,12 +52,17 @@
 
     @property
     def head(self) -> InstanceId:
-        """The member that takes requests."""
+        """The member that receives the group's requests."""
         return self.members[0]
 
 
 class DomainPlan(msgspec.Struct, frozen=True):
-    """All groups of one fabric domain; written and replaced as one value."""
+    """All groups of one fabric domain, written and replaced as one value.
+
+    Attributes:
+        domain: The fabric domain.
+        groups: Its groups.
+    """
 
     domain: FabricDomainId
     groups: tuple[GroupRecord, ...] = ()
--- a/src/zinniaspool/core/formation/releases.py
+++ b/src/zinniaspool/core/formation/releases.py
@@ -1,9 +1,9 @@
-"""Which VMs are known to be out of a group that is no more.
+"""Tracks which VMs have left a group that has ended.
 
-A VM may be used again only once it is in no group: the head of its last one
-may still take requests. What shows that is its own answer to the order to
-leave, or its group's head's. An entry alone does not: entries from before a VM
-joined come in after an outage.
+A VM may be used again only once it is in no group, since the head of its last
+group may still accept requests. Its own answer to a leave order shows that, or
+the answer of its group's head. An instance record alone does not, since
+records from before a VM joined may arrive after an outage.
 """
 
 from collections import deque
@@ -11,106 +11,126 @@
 from dataclasses import dataclass
 
 from zinniaspool.core.fleet import Instance, InstanceId
-from zinniaspool.core.formation.lifecycle import LEFT, RETRY_S, FleetSight, GroupRun
+from zinniaspool.core.formation.lifecycle import (
+    LEFT_OUTCOMES,
+    RETRY_S,
+    GroupRun,
+    InstanceView,
+)
 from zinniaspool.core.formation.orders import GroupOrder, OrderAction, OrderOutcome
 from zinniaspool.core.ids import Epoch, GroupId
 
-__all__ = ["ReleaseBook"]
+__all__ = ["ReleaseTracker"]
 
-REMEMBERED = 512
-"""Groups known to be over whose members' entries may still name them, for a
-few tens of milliseconds each; far more than end in that time."""
+MAX_REMEMBERED = 512
+"""Ended groups, and members that left, to remember. The members' records may
+still name a group for a few tens of milliseconds after its end, and far fewer
+groups end in that time."""
 
 
 @dataclass(slots=True)
-class _Stray:
-    """A group that a VM holds though no plan names it."""
+class _OrphanedGroup:
+    """A group that a VM reports to be in though no plan names the group.
+
+    Attributes:
+        group: The group.
+        epoch: The group's epoch, as the VM reports it.
+        ordered_at: Time of the last order to leave it, in seconds.
+    """
 
     group: GroupId
     epoch: Epoch
-    asked_at: float = float("-inf")
+    ordered_at: float = float("-inf")
 
 
-class ReleaseBook:
-    """Groups that are over, VMs that left, and VMs that still have to."""
+class ReleaseTracker:
+    """Tracks ended groups, VMs that have left and VMs that must leave."""
 
     def __init__(self) -> None:
-        self._ended: deque[GroupId] = deque(maxlen=REMEMBERED)
-        self._left: deque[tuple[InstanceId, GroupId]] = deque(maxlen=REMEMBERED)
-        self._strays: dict[InstanceId, _Stray] = {}
+        self._ended_groups: deque[GroupId] = deque(maxlen=MAX_REMEMBERED)
+        self._released: deque[tuple[InstanceId, GroupId]] = deque(maxlen=MAX_REMEMBERED)
+        self._orphans: dict[InstanceId, _OrphanedGroup] = {}
 
-    def remember_end(self, run: GroupRun) -> None:
-        """Note who is known to be out of a group that is given up.
+    def record_group_end(self, run: GroupRun) -> None:
+        """Record which members are known to have left an ended group.
 
-        Where its head did not answer, the head and others that were away may
-        come back and still hold it: only those that left are free.
+        If the head was unreachable, the head and other unreachable members
+        may come back and still be in the group. Only the members that have
+        left are free then.
         """
         group = run.record.group
         if run.record.head in run.released:
-            self._ended.append(group)
-        self._left += [(one, group) for one in run.released]
-
-    def forget(self, instance: InstanceId) -> None:
-        """Take that a VM has started again and is in no group of before."""
-        self._strays.pop(instance, None)
-        kept = [one for one in self._left if one[0] != instance]
-        self._left.clear()
-        self._left += kept
-
-    def is_free(self, one: Instance) -> bool:
-        """Tell whether a VM that no plan names is in no group any more.
-
-        An engine that is asked to leave a group it is not in says that this
-        is so already; it may well be in another one, whose head serves.
+            self._ended_groups.append(group)
+        self._released += [(member, group) for member in run.released]
+
+    def on_restart(self, instance: InstanceId) -> None:
+        """Record that a VM has restarted, so that it has left every group."""
+        self._orphans.pop(instance, None)
+        kept = [release for release in self._released if release[0] != instance]
+        self._released.clear()
+        self._released += kept
+
+    def is_free(self, instance: Instance) -> bool:
+        """Return whether a VM that no plan names has left its last group.
+
+        An engine that is ordered to leave a group that it is not in answers
+        that it has left. It may be in another group, whose head serves, so
+        the answer frees the VM of the named group only.
         """
-        if one.id in self._strays:
+        if instance.id in self._orphans:
             return False
-        held = one.membership
-        if held is None or held.group in self._ended:
+        membership = instance.membership
+        if membership is None or membership.group in self._ended_groups:
             return True
-        return (one.id, held.group) in self._left
+        return (instance.id, membership.group) in self._released
 
-    def find_strays(
+    def list_orphan_releases(
         self,
         unplanned: Iterable[Instance],
-        groups: Collection[GroupId],
-        sight: FleetSight,
+        planned_groups: Collection[GroupId],
+        view: InstanceView,
         now: float,
     ) -> list[GroupOrder]:
-        """Return orders that free VMs of groups that no plan names.
+        """Return orders that release VMs from groups that no plan names.
 
-        Such a one was cut off when its group was given up, or carried out a
+        Such a VM was cut off when its group was given up, or carried out a
         late order.
 
         Args:
             unplanned: VMs that no plan names.
-            groups: Groups that a plan names.
-            sight: All VMs.
-            now: Seconds.
+            planned_groups: Groups that a plan names.
+            view: The known instances.
+            now: Current time, in seconds.
         """
-        for one in unplanned:
-            held = one.membership
-            if held is None or held.group in groups or self.is_free(one):
+        for vm in unplanned:
+            membership = vm.membership
+            if (
+                membership is None
+                or membership.group in planned_groups
+                or self.is_free(vm)
+            ):
                 continue
-            stray = self._strays.get(one.id)
-            if stray is None or stray.group != held.group:
-                self._strays[one.id] = _Stray(held.group, held.epoch)
-        for gone in self._strays.keys() - sight.instances.keys():
-            del self._strays[gone]
+            orphan = self._orphans.get(vm.id)
+            if orphan is None or orphan.group != membership.group:
+                self._orphans[vm.id] = _OrphanedGroup(
+                    membership.group, membership.epoch
+                )
+        for removed in self._orphans.keys() - view.instances.keys():
+            del self._orphans[removed]
         orders = []
-        for instance, stray in self._strays.items():
-            if instance not in sight.lost and now - stray.asked_at >= RETRY_S:
-                stray.asked_at = now
+        for instance, orphan in self._orphans.items():
+            if instance not in view.unreachable and now - orphan.ordered_at >= RETRY_S:
+                orphan.ordered_at = now
                 orders.append(
-                    GroupOrder(instance, OrderAction.LEAVE, stray.group, stray.epoch)
+                    GroupOrder(instance, OrderAction.LEAVE, orphan.group, orphan.epoch)
                 )
         return orders
 
-    def note(self, order: GroupOrder, outcome: OrderOutcome) -> None:
-        """Take that a VM has left, by its own answer."""
-        stray = self._strays.get(order.instance)
-        if stray is None or order.action is not OrderAction.LEAVE:
+    def on_order_outcome(self, order: GroupOrder, outcome: OrderOutcome) -> None:
+        """Record that a VM has left an orphaned group, by its own answer."""
+        orphan = self._orphans.get(order.instance)
+        if orphan is None or order.action is not OrderAction.LEAVE:
             return
-        if stray.group == order.group and outcome in LEFT:
-            del self._strays[order.instance]
-            self._left.append((order.instance, stray.group))
+        if orphan.group == order.group and outcome in LEFT_OUTCOMES:
+            del self._orphans[order.instance]
+            self._released.append((order.instance, orphan.group))
--- a/src/zinniaspool/core/formation/staging.py
+++ b/src/zinniaspool/core/formation/staging.py
@@ -1,76 +1,77 @@
-"""Second models for hosts' memory, brought in ahead of need."""
+"""Stages second models in the hosts' memory before they are needed."""
 
 from collections.abc import Iterable, Mapping
 
 from zinniaspool.core.fleet import EngineSpec, InstanceId
-from zinniaspool.core.formation.lifecycle import RETRY_S, FleetSight, GroupRun
+from zinniaspool.core.formation.lifecycle import RETRY_S, GroupRun, InstanceView
 from zinniaspool.core.formation.loads import LoadBudget
 from zinniaspool.core.formation.orders import GroupOrder, OrderAction
 from zinniaspool.core.formation.records import GroupPhase, GroupRecord
 from zinniaspool.core.ids import ServiceName
 
-__all__ = ["Staging"]
+__all__ = ["StagingScheduler"]
 
 
-class Staging:
-    """Which VMs have been told to bring a second model into their memory.
+class StagingScheduler:
+    """Orders VMs to stage a second model in their hosts' memory.
 
     Args:
-        sight: The VMs.
-        loads: Loads of weights by service, which staging must not crowd out.
+        view: The known instances.
+        loads: The load budget of each service, which staging shares with the
+            loads of groups.
     """
 
     def __init__(
-        self, sight: FleetSight, loads: Mapping[ServiceName, LoadBudget]
+        self, view: InstanceView, loads: Mapping[ServiceName, LoadBudget]
     ) -> None:
-        self._sight = sight
+        self._view = view
         self._loads = loads
-        self._until: dict[InstanceId, float] = {}
+        self._staging_until: dict[InstanceId, float] = {}
 
     def forget(self, instance: InstanceId) -> None:
-        """Take that a VM has gone or started again."""
-        self._until.pop(instance, None)
+        """Forget a VM that was removed or has restarted."""
+        self._staging_until.pop(instance, None)
 
-    def stage(
+    def list_staging_orders(
         self,
         runs: Iterable[GroupRun],
         engines: Mapping[ServiceName, EngineSpec],
         now: float,
     ) -> list[GroupOrder]:
-        """Return orders that bring a second model into hosts' memory.
+        """Return orders that stage a second model in hosts' memory.
 
-        A VM that holds one model and has the other one at hand can take any
-        lost member's place within seconds. One that has changed its model has
-        not, and could not change back for as long as a load takes. Those that
-        serve get theirs in the background: their loads would make those slower
-        that callers wait for.
+        A VM that has one model loaded and the other one staged can replace
+        any unreachable member within seconds. A VM that has changed its model
+        has not, and could not change back for as long as a load takes.
+        Members of serving groups are staged in the background, since their
+        loads would slow down the loads that callers wait for.
 
         Args:
-            runs: Groups of one fabric domain.
-            engines: Services whose groups are formed.
-            now: Seconds.
+            runs: The groups of one fabric domain.
+            engines: The engines of the services whose groups are formed.
+            now: Current time, in seconds.
         """
         orders = []
         for run in runs:
             budget = self._loads.get(run.record.service)
             engine = engines.get(run.record.service)
-            settled = run.phase in (GroupPhase.STANDBY, GroupPhase.SERVING)
-            if budget is None or engine is None or not settled:
+            stable = run.phase in (GroupPhase.STANDBY, GroupPhase.SERVING)
+            if budget is None or engine is None or not stable:
                 continue
-            for one in run.record.members:
-                orders += self._stage_one(run.record, one, engine, budget, now)
+            for member in run.record.members:
+                orders += self._order_staging(run.record, member, engine, budget, now)
         return orders
 
-    def _stage_one(
+    def _order_staging(
         self,
         record: GroupRecord,
-        one: InstanceId,
+        member: InstanceId,
         engine: EngineSpec,
         budget: LoadBudget,
         now: float,
     ) -> list[GroupOrder]:
-        found = self._sight.find(one)
-        if found is None or self._until.get(one, 0.0) > now:
+        found = self._view.find_reachable(member)
+        if found is None or self._staging_until.get(member, 0.0) > now:
             return []
         other = next(
             (
@@ -80,11 +81,11 @@
             ),
             None,
         )
-        has_another = any(name != record.model for name in found.staged)
-        if other is None or has_another or not budget.room(now):
+        has_other_staged = any(name != record.model for name in found.staged)
+        if other is None or has_other_staged or not budget.count_room(now):
             return []
         if not record.standby and not budget.has_background_room(now):
             return []
-        budget.start(one, now, other.load_s)
-        self._until[one] = now + other.load_s + RETRY_S
-        return [GroupOrder(one, OrderAction.STAGE, model=other.name)]
+        budget.record_start(member, now, other.load_s)
+        self._staging_until[member] = now + other.load_s + RETRY_S
+        return [GroupOrder(member, OrderAction.STAGE, model=other.name)]
--- a/src/zinniaspool/keeper/holder.py
+++ b/src/zinniaspool/keeper/holder.py
@@ -19,7 +19,7 @@
     PlanWrite,
 )
 from zinniaspool.core.formation.lifecycle import GroupRun
-from zinniaspool.core.formation.planner import GroupMove
+from zinniaspool.core.formation.planner import PhaseTransition
 from zinniaspool.core.ids import Epoch, FabricDomainId, ModelName, NodeId, ServiceName
 from zinniaspool.fleet import FleetBelief
 from zinniaspool.keeper.election import HolderElection
@@ -169,11 +169,11 @@
     @property
     def domains_looked_at(self) -> int:
         """Fabric domains that this holder's looks went through, in all."""
-        return 0 if self._planner is None else self._planner.domains_looked_at
+        return 0 if self._planner is None else self._planner.domains_scanned
 
     def list_runs(self) -> list[GroupRun]:
         """Return the groups under this process's care."""
-        return [] if self._planner is None else self._planner.runs()
+        return [] if self._planner is None else self._planner.list_runs()
 
     async def _hold(self) -> None:
         loop = asyncio.get_running_loop()
@@ -184,7 +184,7 @@
         self._planner = planner
         self._restore(planner)
         await self._verify(planner)
-        planner.hold_back(self._free_until - SETTLE_S)
+        planner.defer_formation(self._free_until - SETTLE_S)
         # Until another process takes over, the plans in memory are the newest:
         # those in the store are from before an outage.
         while self._election.claims:
@@ -202,10 +202,10 @@
                 },
                 loop.time(),
             )
-            planner.see(self._belief.instances)
+            planner.update_instances(self._belief.instances)
             # A group whose VMs are all dark changes no entry by its end: the
             # others learn of it by this word alone, seconds before the store.
-            self._belief.take_lost(planner.lost, loop.time())
+            self._belief.take_lost(planner.unreachable, loop.time())
             self._smooth_demand(loop.time())
             planner.set_demand(self._smooth)
             writes, orders = planner.step(loop.time())
@@ -244,7 +244,7 @@
         # Many answers at once keep this process busy, so that some come too
         # late through its own fault; a sound group would be taken for lost.
         for one in await self._list_silent(silent, CHECK_WAITS_S[1]):
-            planner.lose(one)
+            planner.mark_unreachable(one)
 
     async def _list_silent(
         self, engines: Sequence[InstanceId], wait_s: float
@@ -277,13 +277,13 @@
         """Do by other ways what the store does while it is there."""
         if not self._election.provisional:
             for domain in self._owed:
-                planner.note_unsaved(domain)
+                planner.on_plan_not_saved(domain)
             self._owed.clear()
             return
         if now - self._asked_at < OUTAGE_ASK_S:
             return
         self._asked_at = now
-        for run in planner.runs():
+        for run in planner.list_runs():
             if run.phase in _UNDER_WAY:
                 for one in run.record.members:
                     self._start(self._read_status(one))
@@ -335,7 +335,7 @@
             # Nobody else can plan now. A successor that does not find this
             # plan frees its VMs before it uses them.
             self._owed.add(plan.domain)
-            planner.note_saved(plan.domain)
+            planner.on_plan_saved(plan.domain)
             return
         self._saving += 1
         try:
@@ -343,11 +343,11 @@
         finally:
             self._saving -= 1
         if fault is None:
-            planner.note_saved(plan.domain)
+            planner.on_plan_saved(plan.domain)
             return
         _log.warning("plan-unsaved", domain=plan.domain, fault=fault.value)
         await asyncio.sleep(0.1)
-        planner.note_unsaved(plan.domain)
+        planner.on_plan_not_saved(plan.domain)
 
     async def _give(self, planner: FormationPlanner, order: GroupOrder) -> None:
         instance = self._belief.instances.get(order.instance)
@@ -366,7 +366,7 @@
             outcome=outcome.value,
             took_ms=int((loop.time() - began) * 1000),
         )
-        planner.note(order, outcome, loop.time())
+        planner.on_order_outcome(order, outcome, loop.time())
         if self._election.provisional:
             # No entry will tell the entry processes what has changed.
             await self._read_status(order.instance)
@@ -382,22 +382,22 @@
                 return
         if self._planner is not None:
             _log.warning("instance-lost", instance=instance)
-            self._planner.lose(instance)
+            self._planner.mark_unreachable(instance)
 
     def _ask_lost(self, planner: FormationPlanner, now: float) -> None:
-        if not planner.lost or now < self._regain_at:
+        if not planner.unreachable or now < self._regain_at:
             return
         self._regain_at = now + REGAIN_S
-        for one in planner.lost:
+        for one in planner.unreachable:
             if one in self._belief.instances:
                 self._start(self._ask_again(planner, one))
 
     async def _ask_again(self, planner: FormationPlanner, one: InstanceId) -> None:
         if await self._read_status(one):
             _log.info("instance-regained", instance=one)
-            planner.regain(one)
+            planner.mark_reachable(one)
 
-    def _note_move(self, move: GroupMove) -> None:
+    def _note_move(self, move: PhaseTransition) -> None:
         record = move.record
         _log.info(
             "group-phase",
--- a/tests/formation_world.py
+++ b/tests/formation_world.py
@@ -1,7 +1,8 @@
-"""Engines that join, open, close, leave and stage, for tests of formation.
+"""Simulated engines that join, open, close, leave and stage, for tests.
 
-What they do is checked from outside: whoever opens a group that is not whole,
-or takes a VM from a group whose head still serves, is noted in ``broken``.
+The simulation checks each order from outside. It records a violation when a
+group opens that is not complete, or when a VM joins a group while the head of
+its last group still serves.
 """
 
 import random
@@ -39,16 +40,19 @@
     "SERVICE",
     "SMALL",
     "FakeEngine",
-    "FormationWorld",
-    "make_idle",
-    "make_settled",
+    "SimulatedFleet",
+    "make_idle_instance",
+    "make_settled_fleet",
 ]
 
 SERVICE = ServiceName("drafting")
 LARGE = ModelName("large")
 SMALL = ModelName("small")
 TICK_S = 0.05
-HEARTBEATS_S = 3.6
+"""Simulated time between two steps of the planner, in seconds."""
+
+HEARTBEAT_TIMEOUT_S = 3.6
+"""Time without a heartbeat after which a record expires, in seconds."""
 
 ENGINE = EngineSpec(
     slots=13,
@@ -70,36 +74,40 @@
 
 @dataclass
 class FakeEngine:
-    """One instance: what it holds, and what it told the store of it.
+    """One simulated instance, and its record in the store.
 
     Attributes:
-        entry: What the store has, or None.
         alive: Whether it runs and answers.
-        in_touch: Whether it reaches the store.
-        opens_at: When an open order takes effect.
+        connected: Whether it reaches the store.
+        record: Its record in the store, or None.
+        unreported_since: Time since which it does not reach the store.
+        opens_at: Time at which an open order takes effect.
+        ready_ever: Groups in which it has ever been ready.
+        ready_since_start: Groups in which it has been ready since its last
+            start.
     """
 
     id: InstanceId
     domain: FabricDomainId
     alive: bool = True
-    in_touch: bool = True
+    connected: bool = True
     state: InstanceState = InstanceState.READY
-    entry: Instance | None = None
-    silent_since: float | None = None
+    record: Instance | None = None
+    unreported_since: float | None = None
     staged: tuple[ModelName, ...] = ()
     model: ModelName | None = None
     membership: Membership | None = None
     members: tuple[InstanceId, ...] = ()
-    seen_epoch: int = 0
+    highest_epoch: int = 0
     ready_at: float = 0.0
     opens_at: float | None = None
     staging: tuple[float, ModelName] | None = None
-    born: int = 1
-    born_at: float = 0.0
-    has_been_ready: set[tuple[str, int, tuple[InstanceId, ...]]] = field(
+    incarnation: int = 1
+    started_at: float = 0.0
+    ready_ever: set[tuple[str, int, tuple[InstanceId, ...]]] = field(
         default_factory=set
     )
-    ready_this_life: set[tuple[str, int, tuple[InstanceId, ...]]] = field(
+    ready_since_start: set[tuple[str, int, tuple[InstanceId, ...]]] = field(
         default_factory=set
     )
 
@@ -115,40 +123,49 @@
             self.model,
             self.staged,
             self.membership,
-            self.born,
+            self.incarnation,
         )
 
 
-class FormationWorld:
-    """A fleet, its store and one planner at a time."""
+class SimulatedFleet:
+    """A simulated fleet, its store and one planner at a time.
+
+    Attributes:
+        violations: The violations found so far.
+        late_order_part: Part of the orders that are carried out late.
+        staging_enabled: Whether engines stage models.
+        load_time_part: Part of the model's load time that a load takes.
+    """
 
     def __init__(self, domains: int = 1, size: int = 7, seed: int = 1) -> None:
         self.now = 0.0
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.plans: dict[FabricDomainId, DomainPlan] = {}
         self.engines: dict[InstanceId, FakeEngine] = {}
-        self.late_part = 0.0
-        self.stages = True
-        self.load_part = 0.1
+        self.late_order_part = 0.0
+        self.staging_enabled = True
+        self.load_time_part = 0.1
         self.orders: list[GroupOrder] = []
         self.epoch = 0
-        self._late: list[tuple[float, GroupOrder]] = []
-        self._source = random.Random(seed)
-        self._count = 0
+        self._late_orders: list[tuple[float, GroupOrder]] = []
+        self._random = random.Random(seed)
+        self._vm_count = 0
         for number in range(domains):
             for _ in range(size):
-                self.add(FabricDomainId(f"d{number}"))
+                self.add_vm(FabricDomainId(f"d{number}"))
         self.take_over()
 
-    def add(self, domain: FabricDomainId) -> FakeEngine:
-        self._count += 1
-        engine = FakeEngine(InstanceId(f"i{self._count:03}"), domain)
+    def add_vm(self, domain: FabricDomainId) -> FakeEngine:
+        self._vm_count += 1
+        engine = FakeEngine(InstanceId(f"i{self._vm_count:03}"), domain)
         self.engines[engine.id] = engine
         return engine
 
     def take_over(self) -> None:
-        """Let a new holder begin with what is in the store."""
-        self.planner = FormationPlanner(self._next_epoch, 5.0, free_until=2.0)
+        """Replace the planner by one that starts from the stored plans."""
+        self.planner = FormationPlanner(
+            self._next_epoch, 5.0, loads_unlimited_until=2.0
+        )
         self.planner.configure({SERVICE: ENGINE})
         self.planner.restore(self.plans.values())
 
@@ -156,41 +173,41 @@
         for _ in range(int(seconds / TICK_S)):
             self._tick()
 
-    def serving(self, model: ModelName) -> int:
-        """Count the groups of a model that truly can serve."""
+    def count_serving(self, model: ModelName) -> int:
+        """Count the complete groups of a model."""
         return sum(
-            self._is_whole(engine)
+            self._is_complete(engine)
             for engine in self.engines.values()
             if engine.alive and engine.model == model
         )
 
-    def lose(self, engine: FakeEngine) -> None:
-        """Let an engine go dark, and tell the planner as questions would."""
+    def fail_engine(self, engine: FakeEngine) -> None:
+        """Stop an engine, and report it to the planner as unreachable."""
         engine.alive = False
-        self.planner.lose(engine.id)
+        self.planner.mark_unreachable(engine.id)
 
-    def members_of(self, model: ModelName) -> list[FakeEngine]:
+    def find_members(self, model: ModelName) -> list[FakeEngine]:
         """Return the members of the first serving group of a model."""
-        for run in self.planner.runs():
+        for run in self.planner.list_runs():
             if run.record.model == model and run.phase is GroupPhase.SERVING:
-                return [self.engines[one] for one in run.record.members]
+                return [self.engines[member] for member in run.record.members]
         return []
 
-    def restart(self, engine: FakeEngine) -> FakeEngine:
-        """Let an engine come back as another instance on the same host."""
+    def restart_as_new_instance(self, engine: FakeEngine) -> FakeEngine:
+        """Replace an engine by another instance on the same host."""
         del self.engines[engine.id]
-        fresh = self.add(engine.domain)
+        fresh = self.add_vm(engine.domain)
         fresh.staged = engine.staged
         return fresh
 
-    def rebear(self, engine: FakeEngine) -> None:
-        """Let an engine start again under its id with nothing of before."""
-        engine.born += 1
-        engine.born_at = self.now
+    def restart_in_place(self, engine: FakeEngine) -> None:
+        """Restart an engine under its id, in no group and without a model."""
+        engine.incarnation += 1
+        engine.started_at = self.now
         engine.alive, engine.state = True, InstanceState.READY
         engine.model, engine.membership, engine.members = None, None, ()
-        engine.seen_epoch, engine.opens_at, engine.staging = 0, None, None
-        engine.ready_this_life.clear()
+        engine.highest_epoch, engine.opens_at, engine.staging = 0, None, None
+        engine.ready_since_start.clear()
 
     def _next_epoch(self) -> Epoch:
         self.epoch += 1
@@ -200,70 +217,75 @@
         self.now += TICK_S
         for engine in self.engines.values():
             self._run_engine(engine)
-        for due, order in list(self._late):
+        for due, order in list(self._late_orders):
             if due <= self.now:
-                self._late.remove((due, order))
-                self._carry_out(order)
-        self.planner.see(
-            {one.id: one.entry for one in self.engines.values() if one.entry}
+                self._late_orders.remove((due, order))
+                self._execute(order)
+        self.planner.update_instances(
+            {it.id: it.record for it in self.engines.values() if it.record}
         )
         writes, orders = self.planner.step(self.now)
         for write in writes:
             self.plans[write.plan.domain] = write.plan
-            self.planner.note_saved(write.plan.domain)
+            self.planner.on_plan_saved(write.plan.domain)
         for order in orders:
             self.orders.append(order)
-            self.planner.note(order, self._give(order), self.now)
+            self.planner.on_order_outcome(order, self._send_order(order), self.now)
 
     def _run_engine(self, engine: FakeEngine) -> None:
-        held = engine.membership
+        membership = engine.membership
         if engine.staging is not None and engine.staging[0] <= self.now:
             engine.staged = (engine.staging[1],)
             engine.staging = None
-        joining = held is not None and held.state is MembershipState.JOINING
-        if held is not None and joining and engine.ready_at <= self.now:
-            engine.membership = replace(held, state=MembershipState.READY)
+        joining = membership is not None and membership.state is MembershipState.JOINING
+        if membership is not None and joining and engine.ready_at <= self.now:
+            engine.membership = replace(membership, state=MembershipState.READY)
             engine.staged = () if engine.model is None else (engine.model,)
-            key = (held.group, held.epoch, engine.members)
-            engine.has_been_ready.add(key)
-            engine.ready_this_life.add(key)
+            key = (membership.group, membership.epoch, engine.members)
+            engine.ready_ever.add(key)
+            engine.ready_since_start.add(key)
         if engine.opens_at is not None and engine.opens_at <= self.now:
             engine.opens_at = None
             if engine.membership is not None:
                 engine.membership = replace(
                     engine.membership, state=MembershipState.OPEN
                 )
-                self._check_whole(engine)
-        elif held is not None and held.state is MembershipState.CLOSING:
-            engine.membership = replace(held, state=MembershipState.READY)
-        if engine.alive and engine.in_touch:
-            engine.silent_since = None
-            told = engine.describe()
-            if told != engine.entry:
-                engine.entry = told
+                self._check_complete(engine)
+        elif membership is not None and membership.state is MembershipState.CLOSING:
+            engine.membership = replace(membership, state=MembershipState.READY)
+        if engine.alive and engine.connected:
+            engine.unreported_since = None
+            reported = engine.describe()
+            if reported != engine.record:
+                engine.record = reported
             return
-        if engine.silent_since is None:
-            engine.silent_since = self.now
-        if self.now - engine.silent_since > HEARTBEATS_S:
-            engine.entry = None
+        if engine.unreported_since is None:
+            engine.unreported_since = self.now
+        if self.now - engine.unreported_since > HEARTBEAT_TIMEOUT_S:
+            engine.record = None
 
-    def _give(self, order: GroupOrder) -> OrderOutcome:
+    def _send_order(self, order: GroupOrder) -> OrderOutcome:
         engine = self.engines.get(order.instance)
         if engine is None or not engine.alive:
             return OrderOutcome.UNANSWERED
         if order.action is OrderAction.OPEN:
-            self._check_lives(engine)
-        if self._source.random() < self.late_part:
-            self._late.append((self.now + self._source.uniform(2.0, 12.0), order))
+            self._check_incarnations(engine)
+        if self._random.random() < self.late_order_part:
+            self._late_orders.append(
+                (self.now + self._random.uniform(2.0, 12.0), order)
+            )
             return OrderOutcome.UNANSWERED
-        return self._carry_out(order)
+        return self._execute(order)
 
-    def _carry_out(self, order: GroupOrder) -> OrderOutcome:
+    def _execute(self, order: GroupOrder) -> OrderOutcome:
         engine = self.engines.get(order.instance)
         if engine is None or not engine.alive:
             return OrderOutcome.GONE
-        held = engine.membership
-        mine = held is not None and (held.group, held.epoch) == (
+        membership = engine.membership
+        is_own_group = membership is not None and (
+            membership.group,
+            membership.epoch,
+        ) == (
             order.group,
             order.epoch,
         )
@@ -272,47 +294,50 @@
                 return self._join(engine, order)
             case OrderAction.STAGE:
                 assert order.model is not None
-                if self.stages:
+                if self.staging_enabled:
                     engine.staging = (self.now + 1.0, order.model)
                 return OrderOutcome.ACCEPTED
-            case OrderAction.LEAVE if not mine:
+            case OrderAction.LEAVE if not is_own_group:
                 return OrderOutcome.HOLDS
-            case _ if not mine:
+            case _ if not is_own_group:
                 return OrderOutcome.UNFIT
             case OrderAction.OPEN:
-                assert held is not None
-                if held.state is MembershipState.OPEN:
+                assert membership is not None
+                if membership.state is MembershipState.OPEN:
                     return OrderOutcome.HOLDS
-                if held.state is not MembershipState.READY or held.rank:
+                if membership.state is not MembershipState.READY or membership.rank:
                     return OrderOutcome.UNFIT
                 engine.opens_at = self.now + ENGINE.form_s
             case OrderAction.CLOSE:
-                assert held is not None
-                engine.membership = replace(held, state=MembershipState.CLOSING)
+                assert membership is not None
+                engine.membership = replace(membership, state=MembershipState.CLOSING)
             case OrderAction.LEAVE:
                 engine.membership, engine.opens_at = None, None
         return OrderOutcome.ACCEPTED
 
     def _join(self, engine: FakeEngine, order: GroupOrder) -> OrderOutcome:
         assert order.group is not None and order.model is not None
-        held = engine.membership
-        if order.epoch < engine.seen_epoch:
+        membership = engine.membership
+        if order.epoch < engine.highest_epoch:
             return OrderOutcome.STALE
-        if held is not None and (held.group, held.epoch) == (order.group, order.epoch):
+        if membership is not None and (membership.group, membership.epoch) == (
+            order.group,
+            order.epoch,
+        ):
             return OrderOutcome.HOLDS
-        self._check_free(engine, order)
-        engine.seen_epoch = order.epoch
-        model = next(one for one in ENGINE.models if one.name == order.model)
-        took = model.load_s * self.load_part
+        self._check_vm_is_free(engine, order)
+        engine.highest_epoch = order.epoch
+        model = next(spec for spec in ENGINE.models if spec.name == order.model)
+        ready_after_s = model.load_s * self.load_time_part
         if engine.model == order.model:
-            took = 0.2
+            ready_after_s = 0.2
         elif order.model in engine.staged:
-            took = model.warm_s
+            ready_after_s = model.warm_s
         if order.model not in engine.staged:
-            # What the host held is gone, what comes is not there yet.
+            # The host drops its staged models before it has the new one.
             engine.staged = ()
         engine.model, engine.members = order.model, order.members
-        engine.ready_at = self.now + took
+        engine.ready_at = self.now + ready_after_s
         engine.opens_at = None
         rank = order.members.index(engine.id)
         engine.membership = Membership(
@@ -320,71 +345,76 @@
         )
         return OrderOutcome.ACCEPTED
 
-    def _check_free(self, engine: FakeEngine, order: GroupOrder) -> None:
-        """Note a join of a VM whose last group may still serve."""
-        held = engine.membership
-        if held is None or not engine.members:
+    def _check_vm_is_free(self, engine: FakeEngine, order: GroupOrder) -> None:
+        """Record a violation if the VM's last group may still serve."""
+        membership = engine.membership
+        if membership is None or not engine.members:
             return
         head = self.engines.get(engine.members[0])
         if head is None or not head.alive or head.membership is None:
             return
-        same = (head.membership.group, head.membership.epoch) == (
-            held.group,
-            held.epoch,
+        same_group = (head.membership.group, head.membership.epoch) == (
+            membership.group,
+            membership.epoch,
         )
         serving = (MembershipState.OPEN, MembershipState.CLOSING)
-        if same and head.membership.state in serving:
-            self.broken.append(f"{engine.id} joins {order.group} from {held.group}")
-
-    def _check_whole(self, head: FakeEngine) -> None:
-        """Note a group that opens though a member has never been ready."""
-        held = head.membership
-        assert held is not None
-        key = (held.group, held.epoch, head.members)
-        for one in head.members:
-            member = self.engines.get(one)
-            if member is not None and key not in member.has_been_ready:
-                self.broken.append(f"{held.group} opens without {one}")
-
-    def _check_lives(self, head: FakeEngine) -> None:
-        """Note an order to open though a member is known to be reborn.
-
-        Only where its entry could tell: it reaches the store, and started
-        before the entries that the order was decided on.
+        if same_group and head.membership.state in serving:
+            self.violations.append(
+                f"{engine.id} joins {order.group} from {membership.group}"
+            )
+
+    def _check_complete(self, head: FakeEngine) -> None:
+        """Record a violation if a member was never ready in the group."""
+        membership = head.membership
+        assert membership is not None
+        key = (membership.group, membership.epoch, head.members)
+        for name in head.members:
+            member = self.engines.get(name)
+            if member is not None and key not in member.ready_ever:
+                self.violations.append(f"{membership.group} opens without {name}")
+
+    def _check_incarnations(self, head: FakeEngine) -> None:
+        """Record a violation if a member is known to have restarted.
+
+        It is known only if its record shows it: the member reaches the store,
+        and restarted before the records on which the order is based.
         """
-        held = head.membership
-        if held is None:
+        membership = head.membership
+        if membership is None:
             return
-        key = (held.group, held.epoch, head.members)
-        for one in head.members:
-            member = self.engines.get(one)
-            if member is None or not member.in_touch or not member.alive:
+        key = (membership.group, membership.epoch, head.members)
+        for name in head.members:
+            member = self.engines.get(name)
+            if member is None or not member.connected or not member.alive:
                 continue
-            told = member.born_at < self.now - TICK_S
-            if told and key in member.has_been_ready - member.ready_this_life:
-                self.broken.append(f"{held.group} is opened with {one} reborn")
+            reported = member.started_at < self.now - TICK_S
+            if reported and key in member.ready_ever - member.ready_since_start:
+                self.violations.append(
+                    f"{membership.group} is opened with {name} restarted"
+                )
 
-    def _is_whole(self, head: FakeEngine) -> bool:
-        held = head.membership
-        if held is None or held.state is not MembershipState.OPEN:
+    def _is_complete(self, head: FakeEngine) -> bool:
+        membership = head.membership
+        if membership is None or membership.state is not MembershipState.OPEN:
             return False
-        for one in head.members:
-            member = self.engines.get(one)
+        for name in head.members:
+            member = self.engines.get(name)
             if member is None or not member.alive or member.membership is None:
                 return False
-            theirs = (member.membership.group, member.membership.epoch)
-            if theirs != (held.group, held.epoch):
+            reported = (member.membership.group, member.membership.epoch)
+            if reported != (membership.group, membership.epoch):
                 return False
         return True
 
 
-def make_idle(name: str) -> Instance:
-    """Return a VM in no group."""
+def make_idle_instance(name: str) -> Instance:
+    """Return the record of a VM in no group."""
     return FakeEngine(InstanceId(name), FabricDomainId("d0")).describe()
 
 
-def make_settled(size: int = 7) -> FormationWorld:
-    world = FormationWorld(size=size)
-    world.advance(12.0)
-    assert not world.broken
-    return world
+def make_settled_fleet(size: int = 7) -> SimulatedFleet:
+    """Return a fleet of one domain whose groups have formed."""
+    fleet = SimulatedFleet(size=size)
+    fleet.advance(12.0)
+    assert not fleet.violations
+    return fleet
--- a/tests/test_formation_balance.py
+++ b/tests/test_formation_balance.py
@@ -1,43 +1,43 @@
-"""How VMs are shared among models, and move from one to another."""
+"""How VMs are shared among models, and reassigned between them."""
 
 from tests.formation_world import (
     ENGINE,
     LARGE,
     SERVICE,
     SMALL,
-    FormationWorld,
+    SimulatedFleet,
 )
 from zinniaspool.core.formation.balance import (
-    Conversion,
-    DomainShape,
     ModelDemand,
+    Reassignment,
     ServingGroup,
-    find_conversion,
-    find_conversions,
+    SettledDomain,
+    find_reassignment,
+    find_reassignments,
 )
 from zinniaspool.core.ids import FabricDomainId, GroupId
 
 SMALL_SIZE = 2
 
 
-def test_before_anything_is_measured_groups_follow_the_work_of_their_vms() -> None:
-    """Callers of the small model would be late for the first eight seconds.
+def test_groups_follow_the_configured_shares_before_demand_is_known() -> None:
+    """Callers of the small model would wait for the first eight seconds.
 
-    All that is known at the start is which part of the VMs' work each model
-    has. A group of the large one has twice as many of them, so that the same
-    part needs half as many groups.
+    At the start only each model's part of the VMs' work is known. A group of
+    the large model has twice as many VMs, so the same part of the work needs
+    half as many groups.
     """
-    world = FormationWorld(domains=4, size=9)
-    world.advance(12.0)
-    assert (world.serving(LARGE), world.serving(SMALL)) == (4, 8)
-    assert not world.broken
+    fleet = SimulatedFleet(domains=4, size=9)
+    fleet.advance(12.0)
+    assert (fleet.count_serving(LARGE), fleet.count_serving(SMALL)) == (4, 8)
+    assert not fleet.violations
 
 
-def _make_shapes(large: int, small: int) -> list[DomainShape]:
-    """Return one domain a group, all of whose VMs could hold either model."""
+def _make_domains(large: int, small: int) -> list[SettledDomain]:
+    """Return a domain for each group; its VMs could load either model."""
     groups = [(LARGE, 4)] * large + [(SMALL, 2)] * small
     return [
-        DomainShape(
+        SettledDomain(
             [ServingGroup(GroupId(f"g{number}"), model, {LARGE: size, SMALL: size})],
             0,
             {},
@@ -46,119 +46,121 @@
     ]
 
 
-def _convert(busy_large: float, busy_small: float) -> Conversion | None:
+def _find_reassignment(busy_large: float, busy_small: float) -> Reassignment | None:
     specs = dict(zip((LARGE, SMALL), ENGINE.models, strict=True))
     demands = [
         ModelDemand(specs[LARGE], ENGINE.slots, busy_large),
         ModelDemand(specs[SMALL], ENGINE.slots, busy_small),
     ]
     groups = {LARGE: 3, SMALL: 3}
-    return find_conversion(demands, groups, _make_shapes(3, 3))
+    return find_reassignment(demands, groups, _make_domains(3, 3))
 
 
-def test_few_groups_are_not_taken_from_where_the_next_loss_would_fill_them() -> None:
-    """Callers of the large model are refused after the next loss.
+def test_a_model_that_the_next_loss_would_fill_is_no_donor() -> None:
+    """Callers of the large model would be refused after the next loss.
 
-    A burst fills half of the small model's slots, and nobody waits; of the
-    large model's it is a quarter. With a group given away and another one
-    lost, the large model would have one for all of its callers.
+    A burst fills half of the small model's slots, and no caller waits. A
+    quarter of the large model's slots are in use. With one group reassigned
+    and another one lost, the large model would have one group for all of its
+    callers.
     """
-    assert _convert(9.0, 20.0) is None
+    assert _find_reassignment(9.0, 20.0) is None
 
 
-def test_a_burst_takes_groups_of_two_domains_at_once() -> None:
-    """Callers of the small model are late for two seconds, not for four."""
+def test_a_burst_closes_groups_of_two_domains_at_once() -> None:
+    """Callers of the small model would wait for four seconds, not for two."""
     specs = dict(zip((LARGE, SMALL), ENGINE.models, strict=True))
     demands = [
         ModelDemand(specs[LARGE], ENGINE.slots, 12.0),
         ModelDemand(specs[SMALL], ENGINE.slots, 110.0),
     ]
-    found = find_conversions(demands, {LARGE: 6, SMALL: 6}, _make_shapes(6, 6))
-    assert [one.model for one in found] == [SMALL, SMALL]
-    assert len({group for one in found for group in one.groups}) == 2
-    assert found[-1].after == {LARGE: 4, SMALL: 10}
+    found = find_reassignments(demands, {LARGE: 6, SMALL: 6}, _make_domains(6, 6))
+    assert [it.model for it in found] == [SMALL, SMALL]
+    assert len({group for it in found for group in it.groups}) == 2
+    assert found[-1].groups_after == {LARGE: 4, SMALL: 10}
 
 
-def test_groups_are_taken_where_the_other_model_is_full() -> None:
-    conversion = _convert(6.0, 36.0)
-    assert conversion is not None
-    assert conversion.model == SMALL
+def test_groups_are_reassigned_to_a_model_that_is_full() -> None:
+    reassignment = _find_reassignment(6.0, 36.0)
+    assert reassignment is not None
+    assert reassignment.model == SMALL
 
 
-def test_vms_move_to_the_model_that_is_asked_for() -> None:
-    world = FormationWorld(domains=3)
-    world.advance(12.0)
-    service = next(iter(world.planner.runs())).record.service
-    before = world.serving(SMALL)
-    world.planner.set_demand({(service, LARGE): 4.0, (service, SMALL): 36.0})
-    world.advance(8.0)
-    assert world.serving(SMALL) > before
-    assert world.serving(LARGE) >= 1
-    assert not world.broken
+def test_vms_are_reassigned_to_the_model_in_demand() -> None:
+    fleet = SimulatedFleet(domains=3)
+    fleet.advance(12.0)
+    service = next(iter(fleet.planner.list_runs())).record.service
+    before = fleet.count_serving(SMALL)
+    fleet.planner.set_demand({(service, LARGE): 4.0, (service, SMALL): 36.0})
+    fleet.advance(8.0)
+    assert fleet.count_serving(SMALL) > before
+    assert fleet.count_serving(LARGE) >= 1
+    assert not fleet.violations
 
 
 def test_vms_that_changed_their_model_can_change_back_soon() -> None:
-    """Callers of the large model wait for a load of sixteen seconds.
+    """Callers of the large model would wait for a load of sixteen seconds.
 
-    A burst has taken VMs to the small model, which replaced the large one in
-    their accelerators. It is staged on their hosts again in the background,
-    so that they are back within seconds once the burst is over.
+    In a burst, VMs are reassigned to the small model, which replaces the
+    large model in their accelerators' memory. The large model is staged on
+    their hosts again in the background, so that they can serve it within
+    seconds after the burst.
     """
-    world = FormationWorld(domains=3)
-    world.advance(12.0)
-    world.planner.set_demand({(SERVICE, LARGE): 4.0, (SERVICE, SMALL): 60.0})
-    world.advance(40.0)
-    changed = [one for one in world.engines.values() if one.model == SMALL]
+    fleet = SimulatedFleet(domains=3)
+    fleet.advance(12.0)
+    fleet.planner.set_demand({(SERVICE, LARGE): 4.0, (SERVICE, SMALL): 60.0})
+    fleet.advance(40.0)
+    changed = [engine for engine in fleet.engines.values() if engine.model == SMALL]
     assert len(changed) > 3 * SMALL_SIZE
-    assert all(LARGE in one.staged for one in changed)
-    world.planner.set_demand({(SERVICE, LARGE): 36.0, (SERVICE, SMALL): 4.0})
-    world.advance(4.0)
-    assert world.serving(LARGE) == 3
-    assert not world.broken
+    assert all(LARGE in engine.staged for engine in changed)
+    fleet.planner.set_demand({(SERVICE, LARGE): 36.0, (SERVICE, SMALL): 4.0})
+    fleet.advance(4.0)
+    assert fleet.count_serving(LARGE) == 3
+    assert not fleet.violations
 
 
-def test_vms_that_were_freed_and_still_load_count_for_their_model() -> None:
-    """Callers of the small model would lose group after group.
+def test_reserved_vms_that_still_load_count_for_their_model() -> None:
+    """The small model would lose one group after another.
 
-    The large model is short, and VMs that are freed for it load its weights
-    for sixteen seconds. It is as short meanwhile; each further group that is
-    closed for it serves nobody either, for as long.
+    The large model is short of groups, and VMs that are freed for it load its
+    weights for sixteen seconds. It is as short of groups meanwhile. Each
+    further group that is closed for it serves no caller for as long.
     """
-    world = FormationWorld(domains=6, size=9)
-    world.stages = False
-    world.advance(12.0)
-    world.load_part = 1.0
-    before = world.serving(SMALL)
-    world.planner.set_demand({(SERVICE, LARGE): 140.0, (SERVICE, SMALL): 30.0})
+    fleet = SimulatedFleet(domains=6, size=9)
+    fleet.staging_enabled = False
+    fleet.advance(12.0)
+    fleet.load_time_part = 1.0
+    before = fleet.count_serving(SMALL)
+    fleet.planner.set_demand({(SERVICE, LARGE): 140.0, (SERVICE, SMALL): 30.0})
     closed = set()
     for _ in range(140):
-        world.advance(0.1)
+        fleet.advance(0.1)
         closed |= {
             run.record.group
-            for run in world.planner.runs()
+            for run in fleet.planner.list_runs()
             if run.reason.startswith("balance")
         }
     assert 0 < len(closed) <= 4
-    assert world.serving(SMALL) >= before - 4
-    assert not world.broken
+    assert fleet.count_serving(SMALL) >= before - 4
+    assert not fleet.violations
 
 
-def test_a_vm_that_still_loads_does_not_hold_up_a_move() -> None:
-    """Callers of the large model wait while VMs of the small one idle.
+def test_a_loading_vm_does_not_delay_a_reassignment() -> None:
+    """Callers of the large model would wait while VMs of the small one idle.
 
-    Losses have left the large model without a group. A VM has just come in
-    and loads for many seconds; the groups of the small model must not wait
-    for it before they give their VMs.
+    Losses have left the large model without a group. A VM has just arrived
+    and loads for many seconds. The reassignment of the small model's groups
+    must not wait for it.
     """
-    world = FormationWorld(domains=2, size=9)
-    world.advance(12.0)
+    fleet = SimulatedFleet(domains=2, size=9)
+    fleet.advance(12.0)
     for _ in range(2):
-        for member in world.members_of(LARGE)[:2]:
-            world.lose(member)
-        world.advance(0.2)
-    world.add(FabricDomainId("d0"))
-    world.add(FabricDomainId("d1"))
-    world.planner.set_demand({(SERVICE, LARGE): 30.0, (SERVICE, SMALL): 5.0})
-    world.advance(6.0)
-    assert world.serving(LARGE) >= 1
-    assert not world.broken
+        for member in fleet.find_members(LARGE)[:2]:
+            fleet.fail_engine(member)
+        fleet.advance(0.2)
+    fleet.add_vm(FabricDomainId("d0"))
+    fleet.add_vm(FabricDomainId("d1"))
+    fleet.planner.set_demand({(SERVICE, LARGE): 30.0, (SERVICE, SMALL): 5.0})
+    fleet.advance(6.0)
+    assert fleet.count_serving(LARGE) >= 1
+    assert not fleet.violations
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -1,4 +1,4 @@
-"""Which model the idle VMs of a fabric domain hold for the next loss."""
+"""Which model the standby VMs of a fabric domain load."""
 
 from collections import Counter
 
@@ -6,7 +6,7 @@
 
 from tests.formation_world import LARGE, SMALL, FakeEngine
 from zinniaspool.core.fleet import InstanceId, ModelSpec
-from zinniaspool.core.formation.allocation import Candidate, ModelNeed, select_groups
+from zinniaspool.core.formation.allocation import Candidate, ModelNeed, select_group
 from zinniaspool.core.ids import FabricDomainId, ModelName
 
 
@@ -15,9 +15,9 @@
 
 
 def choose_standby(
-    sizes: tuple[int, int], groups: tuple[int, int], standing: Counter[ModelName]
+    sizes: tuple[int, int], groups: tuple[int, int], standby_vms: Counter[ModelName]
 ) -> ModelName:
-    """Return what one more idle VM holds, which holds nothing yet."""
+    """Return the model that an idle VM without a model stands by with."""
     engine = FakeEngine(InstanceId("i0"), FabricDomainId("d0"))
     idle = Candidate(engine.describe(), None, standby=False)
     names = (LARGE, SMALL)
@@ -25,8 +25,8 @@
         ModelNeed(make_spec(name, size), count, 1.0)
         for name, size, count in zip(names, sizes, groups, strict=True)
     ]
-    here = Counter(dict(zip(names, groups, strict=True)))
-    chosen = select_groups([idle], needs, standing, here)
+    groups_here = Counter(dict(zip(names, groups, strict=True)))
+    chosen = select_group([idle], needs, standby_vms, groups_here)
     assert chosen is not None and chosen.standby
     return chosen.model.name
 
@@ -34,23 +34,23 @@
 @pytest.mark.parametrize(
     ("sizes", "groups"), [((16, 4), (1, 5)), ((12, 6), (1, 2)), ((6, 3), (1, 1))]
 )
-def test_the_first_spare_holds_the_model_whose_groups_stop_most_vms(
+def test_the_first_standby_vm_loads_the_model_whose_loss_stops_most_vms(
     sizes: tuple[int, int], groups: tuple[int, int]
 ) -> None:
-    """Callers of the large model wait for two seconds at each loss.
+    """Callers of the large model would wait for two seconds at each loss.
 
-    One VM of a domain is spare. Losses hit groups of both models about as
-    often. With the small model in the spare's memory, a group of sixteen
-    stands still for 1.6 s more while it warms up the large one; with the
-    large one, a group of four stands still for 1.1 s.
+    One VM of a domain stands by, and groups of both models lose VMs about as
+    often. If the standby VM has the small model loaded, a group of sixteen
+    VMs stands still for 1.6 s more while the VM warms up the large model. If
+    it has the large model loaded, a group of four VMs stands still for 1.1 s.
     """
     assert choose_standby(sizes, groups, Counter()) == LARGE
 
 
-def test_further_spares_cover_the_other_model_too() -> None:
-    """One more spare of the same model would save less than the first."""
-    standing: Counter[ModelName] = Counter()
+def test_further_standby_vms_load_the_other_model_too() -> None:
+    """One more standby VM of the same model would save less than the first."""
+    standby_vms: Counter[ModelName] = Counter()
     for _ in range(6):
-        standing[choose_standby((16, 4), (1, 5), standing)] += 1
-    assert standing[SMALL] >= 1
-    assert standing[LARGE] > standing[SMALL]
+        standby_vms[choose_standby((16, 4), (1, 5), standby_vms)] += 1
+    assert standby_vms[SMALL] >= 1
+    assert standby_vms[LARGE] > standby_vms[SMALL]
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -360,7 +360,7 @@
 
     def judged() -> bool:
         planner = holder.holder._planner
-        return planner is not None and lost <= planner.lost
+        return planner is not None and lost <= planner.unreachable
 
     return await wait_until(judged, 4.0)
 
@@ -416,7 +416,7 @@
         fleet.engines.dark = set()
         planner = holder.holder._planner
         assert planner is not None
-        known_at = await wait_until(lambda: not planner.lost, 3.0)
+        known_at = await wait_until(lambda: not planner.unreachable, 3.0)
         told_at = await wait_until(lambda: fleet.count_users(heads) == VMS, 3.0)
         assert told_at - known_at <= TOLD_S
         fleet.end()
--- a/tools/try_safeguards.py
+++ b/tools/try_safeguards.py
@@ -78,7 +78,7 @@
     Safeguard(
         "what the holder finds lost is told",
         "src/zinniaspool/keeper/holder.py",
-        "self._belief.take_lost(planner.lost, loop.time())",
+        "self._belief.take_lost(planner.unreachable, loop.time())",
         "self._belief.take_lost((), loop.time())",
         "tests/test_verdicts.py",
     ),
@@ -113,9 +113,9 @@
     Safeguard(
         "a VM of an unknown group leaves before it joins",
         f"{CORE}/formation/releases.py",
-        "        if one.id in self._strays:\n            return False\n",
+        "        if instance.id in self._orphans:\n            return False\n",
         "",
-        "tests/test_formation.py::test_an_entry_that_is_behind_does_not_free_a_vm",
+        "tests/test_formation.py::test_an_outdated_record_does_not_free_a_vm",
     ),
     Safeguard(
         "only VMs that left are free after a head was not reached",
@@ -123,7 +123,7 @@
         "if run.record.head in run.released:",
         "if True:",
         "tests/test_formation.py::"
-        "test_members_cut_from_the_store_are_freed_before_they_join_again",
+        "test_members_cut_off_from_the_store_leave_before_they_join_again",
     ),
     Safeguard(
         "an older revision changes nothing",
