--- a/src/zinniaspool/core/__init__.py
+++ b/src/zinniaspool/core/__init__.py
@@ -1,6 +1,6 @@
-"""Decisions as pure steps: no sockets, files, clocks or random source.
+"""Decision logic without I/O: no sockets, files, clocks or random source.
 
-Each machine in here takes events together with the time in seconds of a
-monotonic clock, ``now``, and returns actions for its shell to carry out.
-The linter refuses imports that would break this.
+Each state machine in this package receives events together with ``now``, the
+time of a monotonic clock in seconds, and returns actions for the calling
+process to carry out. The linter rejects imports that would break this rule.
 """
--- a/src/zinniaspool/core/configuration/following.py
+++ b/src/zinniaspool/core/configuration/following.py
@@ -19,8 +19,8 @@
 from zinniaspool.core.membership import Member, MemberState
 from zinniaspool.core.messages.configuration import (
     Announcement,
-    ConfigurationAnswer,
-    ConfigurationAsk,
+    ConfigurationRequest,
+    ConfigurationResponse,
     PartContent,
 )
 
@@ -94,7 +94,7 @@
 
     node: NodeId
     address: Address
-    message: ConfigurationAsk
+    message: ConfigurationRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -225,7 +225,7 @@
         return self._settle(now)
 
     def take_peer(
-        self, ask: AskPeer, answer: ConfigurationAnswer | None, now: float
+        self, ask: AskPeer, answer: ConfigurationResponse | None, now: float
     ) -> list[FollowAction]:
         """Take a peer's answer, or None when none came."""
         if ask.message == _VOTE_ASK:
@@ -279,7 +279,7 @@
         peer = self._source.choice(peers)
         self._fetching = 1
         wanted_from = self._wanted_from if unknown else Revision(0)
-        message = ConfigurationAsk(wanted_from, tuple(missing))
+        message = ConfigurationRequest(wanted_from, tuple(missing))
         return [AskPeer(peer.node, peer.peer_address, message)]
 
     def _may_read_parts(self, now: float, *, alone: bool) -> bool:
@@ -342,4 +342,4 @@
 
 _FETCH_GROWTH = 1.5
 """Factor by which the pause grows with each failed fetch; chosen."""
-_VOTE_ASK = ConfigurationAsk()
+_VOTE_ASK = ConfigurationRequest()
--- a/src/zinniaspool/core/configuration/holding.py
+++ b/src/zinniaspool/core/configuration/holding.py
@@ -15,8 +15,8 @@
 from zinniaspool.core.ids import Revision
 from zinniaspool.core.messages.configuration import (
     Announcement,
-    ConfigurationAnswer,
-    ConfigurationAsk,
+    ConfigurationRequest,
+    ConfigurationResponse,
     PartContent,
 )
 
@@ -134,7 +134,7 @@
         self._prune()
         return configuration
 
-    def answer(self, ask: ConfigurationAsk) -> ConfigurationAnswer:
+    def answer(self, ask: ConfigurationRequest) -> ConfigurationResponse:
         """Return what a peer asks for, as far as it is held."""
         parts: list[PartContent] = []
         room = _MOST_ANSWER_BYTES
@@ -150,8 +150,8 @@
         if ask.manifest_from:
             manifest = self.wanted or self.in_force
         if manifest is None or manifest.revision < ask.manifest_from:
-            return ConfigurationAnswer(self.revision, parts=tuple(parts))
-        return ConfigurationAnswer(
+            return ConfigurationResponse(self.revision, parts=tuple(parts))
+        return ConfigurationResponse(
             self.revision, manifest.revision, dict(manifest.parts), tuple(parts)
         )
 
--- a/src/zinniaspool/core/deployment.py
+++ b/src/zinniaspool/core/deployment.py
@@ -1,4 +1,4 @@
-"""What operators configure: the inventory of VMs and the rules over it."""
+"""The operators' configuration: the inventory of VMs and the rules for it."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -31,7 +31,7 @@
 
 
 class FencingSupport(Enum):
-    """What an engine does with an order that carries an old epoch."""
+    """How an engine handles an order with an old epoch."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
@@ -42,13 +42,13 @@
     """An upstream VM of the inventory.
 
     Attributes:
-        id: Its name in the asset register.
+        id: The VM's name in the asset register.
         address: Where its engine listens.
-        failure_domain: What it may fail together with.
-        fabric_domain: What it shares a fast interconnect with; lies within
-            one failure domain.
-        accelerators: How many it has.
-        owner: The customer that the asset register names.
+        failure_domain: VMs of one failure domain may fail together.
+        fabric_domain: VMs of one fabric domain share a fast interconnect; a
+            fabric domain lies within one failure domain.
+        accelerators: Number of its accelerators.
+        owner: The customer that owns it according to the asset register.
     """
 
     id: VmId
@@ -64,7 +64,7 @@
     """The VMs as exported by the operators.
 
     Attributes:
-        vms: All VMs that replica groups may be formed of.
+        vms: All VMs from which replica groups may be formed.
     """
 
     vms: tuple[Vm, ...]
@@ -75,7 +75,7 @@
     """A customer and the VMs that its models may run on.
 
     Attributes:
-        id: The customer.
+        id: The customer's id.
         may_use: Owners whose VMs its models may run on.
     """
 
@@ -85,12 +85,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """One customer's part of a model's or service's capacity.
+    """A customer's share of the capacity of a model or a service.
 
     Attributes:
-        customer: Who.
-        guaranteed: Requests in progress it can always have, over the fleet.
-        weight: Its part of what is idle, relative to the others'.
+        customer: The customer.
+        guaranteed: Requests in progress that it can always have, over the
+            whole fleet.
+        weight: Its part of the idle capacity, relative to other customers'.
     """
 
     customer: CustomerId
@@ -103,17 +104,19 @@
     """A model that runs on replica groups.
 
     Attributes:
-        name: What callers put in the path.
+        name: The model's name, which callers put in the path.
         version: The version that its groups load.
-        vms_per_group: VMs in each group; losing any one stops the group.
-        guaranteed_groups: Groups it has before any other model gets more.
-        wanted_groups: Groups it uses when VMs are free; at least the
-            guaranteed ones.
+        vms_per_group: Number of VMs in each group; the loss of any of them
+            stops the group.
+        guaranteed_groups: Number of groups that it gets before any other
+            model gets more than its guarantee.
+        wanted_groups: Number of groups that it uses when VMs are free; at
+            least the guaranteed ones.
         slots_per_group: Requests that a group runs at a time.
-        shares: The customers whose requests its groups run, all of which
+        shares: The customers whose requests its groups run; each of them
             must be allowed to use the groups' VMs.
         weight: Its part of free VMs, relative to other models'.
-        weights_gb: Size of one VM's part of the weights, for the rate
+        weights_gb: Size in GB of one VM's part of the weights, for the rate
             limit of the weight store.
     """
 
@@ -130,11 +133,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceUpstream:
-    """One address of a plain service.
+    """An upstream of a plain service.
 
     Attributes:
         address: Where it listens.
-        failure_domain: Where it runs.
+        failure_domain: The failure domain that it runs in.
     """
 
     address: Address
@@ -143,16 +146,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRule:
-    """A plain service that stands beside the model engines.
+    """A plain service that runs beside the model engines.
 
     Attributes:
-        name: What callers put in the path.
+        name: The service's name, which callers put in the path.
         upstreams: Where it listens.
         slots_per_upstream: Requests that one upstream runs at a time.
         shares: The customers that may call it.
         non_idempotent: Path prefixes, below the service, of calls that may
             run at most once. ``""`` stands for every call.
-        urgent: Whether its calls go on when capacity is short.
+        urgent: Whether its calls are still accepted when capacity is short.
     """
 
     name: ServiceName
@@ -165,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RepairWeights:
-    """How a deployment weighs the two costs of repair.
+    """The weights of the two costs of a repair.
 
     Attributes:
         group_downtime: Cost of one group being down for one second.
@@ -182,9 +185,9 @@
     """A time at which a model will be in high demand.
 
     Attributes:
-        model: Which model.
-        starts_at: Seconds since the epoch.
-        ends_at: Seconds since the epoch.
+        model: The model.
+        starts_at: Start, in seconds since the Unix epoch.
+        ends_at: End, in seconds since the Unix epoch.
     """
 
     model: ModelName
@@ -194,15 +197,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What the operators add to the inventory.
+    """The rules that operators add to the inventory.
 
     Attributes:
-        customers: Who shares the fleet, and the VMs that each may use.
-        models: What runs on replica groups.
-        services: Plain services that requests are routed to as well.
-        repair: The weights of the two costs of repair.
-        fencing: What engines do with an order that carries an old epoch.
-        weight_store_gb_per_s: Rate limit of the weight store.
+        customers: The customers that share the fleet, and the VMs that each
+            may use.
+        models: The models that run on replica groups.
+        services: Plain services to which requests are routed as well.
+        repair: The weights of the two costs of a repair.
+        fencing: How engines handle an order with an old epoch.
+        weight_store_gb_per_s: Rate limit of the weight store, in GB per
+            second.
+        peaks: Announced times of high demand.
     """
 
     customers: tuple[CustomerRule, ...]
@@ -216,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """An inventory and the rules that go with it."""
+    """An inventory and the rules for it."""
 
     inventory: Inventory
     rules: Rules
--- a/src/zinniaspool/core/dispatch/pace.py
+++ b/src/zinniaspool/core/dispatch/pace.py
@@ -70,11 +70,11 @@
     @classmethod
     def from_specs(cls, engine: EngineSpec, model: ModelSpec) -> "EngineTiming":
         """Return a model's timing by its operator's configuration."""
-        steps = engine.stride * model.pace
+        steps = engine.steps_per_pass * model.time_factor
         return cls(
             steps * engine.step_s,
             steps * engine.step_per_request_s,
-            model.pace / engine.prefill_tokens_per_s,
+            model.time_factor / engine.prefill_tokens_per_s,
         )
 
     def predict_pass(self, requests: float, unread_tokens: float) -> float:
--- a/src/zinniaspool/core/dispatch/pools.py
+++ b/src/zinniaspool/core/dispatch/pools.py
@@ -18,7 +18,7 @@
 from zinniaspool.core.dispatch.subsets import Subset
 from zinniaspool.core.dispatch.targets import Target, TargetState, is_same_target
 from zinniaspool.core.dispatch.timeouts import AdaptiveTimeout
-from zinniaspool.core.fleet import InstanceId, InstanceLife
+from zinniaspool.core.fleet import InstanceId, InstanceIncarnation
 from zinniaspool.core.ids import FabricDomainId, FailureDomainId
 
 __all__ = ["TargetPool"]
@@ -126,9 +126,9 @@
         self,
         local_domain: FailureDomainId,
         random_source: random.Random,
-        announced_rates: Mapping[InstanceLife, AnnouncedRate] | None = None,
+        announced_rates: Mapping[InstanceIncarnation, AnnouncedRate] | None = None,
     ) -> None:
-        self._announced_rates: Mapping[InstanceLife, AnnouncedRate] = (
+        self._announced_rates: Mapping[InstanceIncarnation, AnnouncedRate] = (
             {} if announced_rates is None else announced_rates
         )
         self._local_domain = local_domain
@@ -185,7 +185,7 @@
         for name, target in wanted.items():
             if name not in self._states:
                 rate = self._announced_rates.get(
-                    InstanceLife(name, target.started_at_ms)
+                    InstanceIncarnation(name, target.started_at_ms)
                 )
                 self._states[name] = TargetState(
                     target, last_event_at=now, announced_rate=rate
--- a/src/zinniaspool/core/dispatch/quarantine.py
+++ b/src/zinniaspool/core/dispatch/quarantine.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from zinniaspool.core.fleet import InstanceId, InstanceLife
+from zinniaspool.core.fleet import InstanceId, InstanceIncarnation
 from zinniaspool.core.ids import ContentId
 
 __all__ = ["HOLD_S", "Quarantine", "QuarantineStatus"]
@@ -46,7 +46,7 @@
     """The incarnations of upstreams that crashed while they had a content."""
 
     since: float
-    incarnations: set[InstanceLife] = field(default_factory=set)
+    incarnations: set[InstanceIncarnation] = field(default_factory=set)
 
 
 class Quarantine:
@@ -86,7 +86,7 @@
         return sorted(incarnation.instance for incarnation in incarnations)
 
     def record_crash(
-        self, content: ContentId, incarnation: InstanceLife, now: float
+        self, content: ContentId, incarnation: InstanceIncarnation, now: float
     ) -> QuarantineStatus:
         """Record that an instance crashed while it had a content.
 
--- a/src/zinniaspool/core/dispatch/targets.py
+++ b/src/zinniaspool/core/dispatch/targets.py
@@ -4,7 +4,7 @@
 
 from zinniaspool.core.dispatch.outside import OutOfSubsetUtilization
 from zinniaspool.core.dispatch.rates import AnnouncedRate
-from zinniaspool.core.fleet import NO_LOAD, InstanceId, TargetLoad, is_reborn
+from zinniaspool.core.fleet import NO_LOAD, InstanceId, TargetLoad, has_restarted
 from zinniaspool.core.ids import (
     Address,
     Epoch,
@@ -169,4 +169,4 @@
     of the requests, failures or stalls of the one before it.
     """
     same_group = (before.group, before.epoch) == (now.group, now.epoch)
-    return same_group and not is_reborn(before.started_at_ms, now.started_at_ms)
+    return same_group and not has_restarted(before.started_at_ms, now.started_at_ms)
--- a/src/zinniaspool/core/explanations.py
+++ b/src/zinniaspool/core/explanations.py
@@ -1,4 +1,4 @@
-"""Decisions of several processes as one account, for whoever may see it."""
+"""Merges decisions of several processes and restricts them to one customer."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -14,34 +14,39 @@
 ]
 
 CUSTOMERS_FIELD = "customers"
-"""Field of a decision that names whom it concerns, separated by commas."""
+"""Field of a decision with the customers that it concerns, separated by
+commas."""
 
 CUSTOMER_SUBJECT = "customer:"
-"""Begins the subject of a decision about one customer's request."""
+"""Prefix of the subject that names a customer, in decisions about requests."""
 
 
-def merge_decisions(found: Iterable[Iterable[Decision]]) -> list[Decision]:
+def merge_decisions(
+    decisions_by_process: Iterable[Iterable[Decision]],
+) -> list[Decision]:
     """Return the decisions of several processes in the order of their times.
 
-    The clocks of VMs differ a little, so decisions of different processes
-    within a moment may stand in the wrong order; those of one never do.
+    The clocks of VMs differ slightly, so decisions of different processes
+    that are close in time may be in the wrong order; the decisions of one
+    process never are.
     """
-    together = [decision for decisions in found for decision in decisions]
-    return sorted(together, key=lambda decision: (decision.at, decision.number))
+    merged = [decision for decisions in decisions_by_process for decision in decisions]
+    return sorted(merged, key=lambda decision: (decision.at, decision.number))
 
 
 def restrict_decisions(
     decisions: Iterable[Decision], customer: CustomerId, subject: str
 ) -> list[Decision]:
-    """Return what one customer's operators may see.
+    """Return what the operators of one customer may see.
 
-    Only decisions that concern the customer stay. Of these the other
-    customers' names go, and all subjects but the one asked about: a decision
-    may also be about another customer's group or model.
+    Only decisions that concern the customer are kept. The field with the
+    customers' names is removed from them, as are all subjects except the
+    requested one: a decision may also be about another customer's group or
+    model.
     """
     kept = []
     for decision in decisions:
-        if customer not in _list_concerned(decision):
+        if customer not in _list_customers(decision):
             continue
         fields = {
             name: value
@@ -52,7 +57,7 @@
     return kept
 
 
-def _list_concerned(decision: Decision) -> set[str]:
+def _list_customers(decision: Decision) -> set[str]:
     named = decision.fields.get(CUSTOMERS_FIELD, "").split(",")
     about = [
         subject.removeprefix(CUSTOMER_SUBJECT)
--- a/src/zinniaspool/core/fleet/__init__.py
+++ b/src/zinniaspool/core/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""What one process knows of the fleet: rules in force, instances, store."""
+"""A process's view of the fleet: rules, instances and the store's keys."""
 
 from zinniaspool.core.fleet.catalog import (
     CallerLimits,
@@ -11,43 +11,48 @@
     ServiceShare,
     ServiceSpec,
 )
-from zinniaspool.core.fleet.demands import DemandSums, ModelDemandNote
+from zinniaspool.core.fleet.demands import DemandTotals, ModelDemandReport
 from zinniaspool.core.fleet.instances import (
     Instance,
-    InstanceBook,
     InstanceId,
-    InstanceLife,
-    InstancePart,
+    InstanceIncarnation,
+    InstancePartition,
     InstanceState,
+    InstanceTable,
     Membership,
     MembershipState,
-    is_reborn,
+    has_restarted,
 )
 from zinniaspool.core.fleet.loads import NO_LOAD, TargetLoad
-from zinniaspool.core.fleet.mirror import Change, MirrorEvent, StoredItem, StoreMirror
+from zinniaspool.core.fleet.mirror import (
+    MirrorChange,
+    MirrorEvent,
+    StoredItem,
+    StoreMirror,
+)
 from zinniaspool.core.fleet.nodes import (
     HELD_PREFIX,
     HOLDER_KEY,
     NODES_PREFIX,
     PLANS_PREFIX,
-    HeldRecord,
     HolderRecord,
     NodeRecord,
     NodeState,
+    QuarantineRecord,
 )
-from zinniaspool.core.fleet.reachability import Reachability, TryOutcome
+from zinniaspool.core.fleet.reachability import ProbeOutcome, ReachabilityTracker
 from zinniaspool.core.fleet.relays import FANOUT, choose_relays
 from zinniaspool.core.fleet.status import EngineStatus
-from zinniaspool.core.fleet.wholeness import WholeGroup, find_whole_groups
+from zinniaspool.core.fleet.wholeness import CompleteGroup, find_complete_groups
 
 __all__ = [
     "HELD_PREFIX",
-    "HeldRecord",
-    "InstanceBook",
-    "InstancePart",
+    "QuarantineRecord",
+    "InstanceTable",
+    "InstancePartition",
     "FANOUT",
-    "DemandSums",
-    "ModelDemandNote",
+    "DemandTotals",
+    "ModelDemandReport",
     "choose_relays",
     "HOLDER_KEY",
     "NODES_PREFIX",
@@ -55,14 +60,14 @@
     "PLANS_PREFIX",
     "CallerLimits",
     "Catalog",
-    "Change",
+    "MirrorChange",
     "CustomerSpec",
     "EngineSpec",
     "EngineStatus",
     "HolderRecord",
     "Instance",
     "InstanceId",
-    "InstanceLife",
+    "InstanceIncarnation",
     "InstanceState",
     "Membership",
     "MembershipState",
@@ -70,7 +75,7 @@
     "ModelSpec",
     "NodeRecord",
     "NodeState",
-    "Reachability",
+    "ReachabilityTracker",
     "RequestKind",
     "RouteSpec",
     "ServiceShare",
@@ -78,8 +83,8 @@
     "StoreMirror",
     "StoredItem",
     "TargetLoad",
-    "TryOutcome",
-    "WholeGroup",
-    "find_whole_groups",
-    "is_reborn",
+    "ProbeOutcome",
+    "CompleteGroup",
+    "find_complete_groups",
+    "has_restarted",
 ]
--- a/src/zinniaspool/core/fleet/catalog.py
+++ b/src/zinniaspool/core/fleet/catalog.py
@@ -1,4 +1,4 @@
-"""The rules in force: routes, services, customers and callers' limits."""
+"""The active rules: routes, services, customers and callers' limits."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -20,16 +20,17 @@
 
 
 class RequestKind(Enum):
-    """What a route's requests allow."""
+    """How often a route's requests may run, and how they are answered."""
 
     IDEMPOTENT = "idempotent"
-    """May run more than once."""
+    """The request may run more than once."""
 
     NON_IDEMPOTENT = "non-idempotent"
-    """Runs at most once."""
+    """The request must run at most once."""
 
     STREAM = "stream"
-    """Answered by server-sent events; repeated only where it may resume."""
+    """The answer is a stream of server-sent events. The request is repeated
+    only on a route whose streams may resume."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,60 +38,63 @@
     """A model that replica groups of one service serve.
 
     Attributes:
-        name: The model.
-        size: VMs in a group.
-        share: Its part of the service's requests when the service starts.
-        pace: Factor on every time that a group of it takes.
-        load_s: Seconds from the weight store.
-        warm_s: Seconds from the host's own memory.
+        name: The model's name.
+        size: Number of VMs in a group.
+        initial_share: The model's part of the service's requests when the
+            service starts.
+        time_factor: Factor on all times that a group of this model takes.
+        load_s: Seconds to load the model from the weight store.
+        warm_load_s: Seconds to load the model from the host's own memory.
     """
 
     name: ModelName
     size: int
-    share: float
-    pace: float
+    initial_share: float
+    time_factor: float
     load_s: float
-    warm_s: float
+    warm_load_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """How a service's engines work, by the operator's figures.
+    """The capacity and timing of a service's engines, as operators give them.
 
     Attributes:
-        slots: Requests that a group runs at a time.
-        models: What its groups serve.
-        stride: Token steps in one pass.
+        slots: Number of requests that a group runs at a time.
+        models: The models that the service's groups serve.
+        steps_per_pass: Token steps in one pass.
         step_s: Seconds of a token step without requests.
-        step_per_request_s: Seconds more a step for each running request.
-        prefill_tokens_per_s: Prompt tokens read a second.
-        chunk: Most prompt tokens read within one step.
-        loads_per_s: Loads from the weight store that may start a second.
-        loads_at_once: Loads beyond which each takes longer.
-        form_s: Seconds from an open order until the group serves.
-        staged_kept: Models that a VM's host keeps in its memory.
+        step_per_request_s: Seconds that each running request adds to a step.
+        prefill_tokens_per_s: Prompt tokens that a group reads per second.
+        prefill_chunk_tokens: Largest number of prompt tokens that a group
+            reads within one step.
+        loads_per_s: Loads from the weight store that may start per second.
+        full_speed_loads: Number of parallel loads beyond which each load
+            takes longer.
+        form_s: Seconds from the order to open a group until it serves.
+        max_staged_models: Models that a VM's host keeps in its memory.
     """
 
     slots: int
     models: tuple[ModelSpec, ...]
-    stride: int
+    steps_per_pass: int
     step_s: float
     step_per_request_s: float
     prefill_tokens_per_s: float
-    chunk: int
+    prefill_chunk_tokens: int
     loads_per_s: float
-    loads_at_once: int
+    full_speed_loads: int
     form_s: float
-    staged_kept: int
+    max_staged_models: int
 
     def find_model(self, name: ModelName) -> ModelSpec | None:
-        """Return a model's figures, or None for an unknown one."""
-        return next((one for one in self.models if one.name == name), None)
+        """Return the specification of a model, or None if it is unknown."""
+        return next((model for model in self.models if model.name == name), None)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service and, where models answer for it, their engines."""
+    """A service; ``engine`` is None for a plain service without models."""
 
     name: ServiceName
     engine: EngineSpec | None = None
@@ -98,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service's weight among those that share one route."""
+    """A service's weight among the services that share a route."""
 
     service: ServiceName
     weight: float
@@ -106,23 +110,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteSpec:
-    """Where requests of one path go and what binds them.
+    """Where the requests of one path go, and which limits apply to them.
 
     Attributes:
-        name: The operator's name for it.
-        host: Which host's requests it takes, in lower case.
-        path_prefix: Which paths.
-        kind: What its requests allow.
+        name: The operator's name for the route.
+        host: The host whose requests it matches, in lower case.
+        path_prefix: The start of the paths that it matches.
+        kind: How often its requests may run, and how they are answered.
         timeout_s: Longest time to keep a caller waiting.
         objective_s: Latency objective, to the first event of a stream.
         priority: 0 is the most urgent.
-        shares: Services that share its requests; one at least.
-        max_attempts: Most upstreams that one request may be sent to.
-        anonymous: Whether requests need no key.
-        resumable: Whether a stream may go on at another upstream.
-        pause_s: Longest pause between a stream's events that is still on
-            time; None for what is no stream.
-        silence_s: Silence after which callers leave a stream.
+        shares: The services that share its requests; at least one.
+        max_attempts: Largest number of upstreams that one request may be
+            sent to.
+        allows_anonymous: Whether requests need no key.
+        resumable: Whether a stream may continue at another upstream.
+        max_pause_s: Longest pause between a stream's events that is still on
+            time; None for requests that are not streams.
+        caller_timeout_s: Seconds without an event after which callers give
+            up a stream.
     """
 
     name: str
@@ -134,14 +140,14 @@
     priority: int
     shares: tuple[ServiceShare, ...]
     max_attempts: int
-    anonymous: bool
+    allows_anonymous: bool
     resumable: bool
-    pause_s: float | None = None
-    silence_s: float = 2.0
+    max_pause_s: float | None = None
+    caller_timeout_s: float = 2.0
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run can be sent again."""
+        """Whether a request that may have run may be sent again."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
         return self.kind is RequestKind.IDEMPOTENT
@@ -149,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerSpec:
-    """A customer and its rank, where it has one of its own."""
+    """A customer; its priority, if it has one, replaces the route's."""
 
     name: CustomerId
     priority: int | None = None
@@ -157,10 +163,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, in bytes, and how long they may take."""
+    """Limits on callers: sizes in bytes and times in seconds."""
 
-    header_bytes: int = 16 * 1024
-    body_bytes: int = 4 * 1024 * 1024
+    max_header_bytes: int = 16 * 1024
+    max_body_bytes: int = 4 * 1024 * 1024
     header_timeout_s: float = 3.0
     idle_timeout_s: float = 15.0
 
@@ -171,11 +177,11 @@
 
     Attributes:
         version: Increases with each change.
-        routes: Of each host, the longest prefix first.
-        services: By name.
-        customers: By key; empty where no key is asked for.
-        limits: What callers may do.
-        asks_keys: Whether requests need a key at all.
+        routes: The routes of each host, those with the longest prefix first.
+        services: The services by name.
+        customers: The customers by API key; empty if no keys are required.
+        limits: Limits on callers.
+        requires_keys: Whether any requests need a key.
     """
 
     version: int
@@ -183,10 +189,10 @@
     services: Mapping[ServiceName, ServiceSpec]
     customers: Mapping[str, CustomerSpec] = field(default_factory=dict)
     limits: CallerLimits = CallerLimits()
-    asks_keys: bool = False
+    requires_keys: bool = False
 
     def find_route(self, host: str, path: str) -> RouteSpec | None:
-        """Return the route of the longest matching prefix, or None."""
+        """Return the route with the longest matching prefix, or None."""
         for route in self.routes.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
--- a/src/zinniaspool/core/fleet/demands.py
+++ b/src/zinniaspool/core/fleet/demands.py
@@ -1,4 +1,4 @@
-"""How much the models are asked for, summed on the way to the holder."""
+"""The demand for each model, summed on its way to the holder."""
 
 from collections import defaultdict
 
@@ -6,20 +6,22 @@
 
 from zinniaspool.core.ids import ModelName, NodeId, ServiceName
 
-__all__ = ["DemandSums", "ModelDemandNote"]
+__all__ = ["DemandTotals", "ModelDemandReport"]
 
-FRESH_S = 1.0
-"""For how long a follower's last word counts, in seconds: it asks several
-times as often, and one that follows another process now counts there."""
+REPORT_LIFETIME_S = 1.0
+"""Seconds for which a follower's last report counts. Followers report several
+times as often, and a follower that has changed to another process is counted
+there by then."""
 
 
-class ModelDemandNote(msgspec.Struct, frozen=True):
-    """How many slots of one model would take what is asked for somewhere.
+class ModelDemandReport(msgspec.Struct, frozen=True):
+    """The number of slots that the demand for one model would occupy.
 
     Attributes:
-        service: Which service's.
-        model: Which model.
-        busy: Slots, by the rate of requests and how long each stays.
+        service: The model's service.
+        model: The model.
+        busy: Number of slots, derived from the rate of requests and from how
+            long each request stays.
     """
 
     service: ServiceName
@@ -27,32 +29,34 @@
     busy: float
 
 
-class DemandSums:
-    """What the followers of a process say, each with its own followers' part.
+class DemandTotals:
+    """The demand that a process's followers report, by model.
 
-    Each question for news carries a sum. So the holder learns the whole
-    fleet's demand from the few that ask it, and nobody sends a word for it.
+    Each follower's report includes the demand of its own followers, and is
+    part of the follower's request for updates. So the holder learns the whole
+    fleet's demand from the few processes that follow it directly, without any
+    extra messages.
     """
 
     def __init__(self) -> None:
-        self._told: dict[NodeId, tuple[float, list[ModelDemandNote]]] = {}
+        self._reports: dict[NodeId, tuple[float, list[ModelDemandReport]]] = {}
 
-    def take(
-        self, follower: NodeId, demands: list[ModelDemandNote], now: float
+    def update(
+        self, follower: NodeId, demands: list[ModelDemandReport], now: float
     ) -> None:
-        """Take a follower's last word."""
-        self._told[follower] = (now, demands)
+        """Replace a follower's last report."""
+        self._reports[follower] = (now, demands)
 
-    def add_up(self, now: float) -> list[ModelDemandNote]:
-        """Return the sum by model of what counts now."""
+    def sum_by_model(self, now: float) -> list[ModelDemandReport]:
+        """Return the sums over the reports that count at this time."""
         sums: defaultdict[tuple[ServiceName, ModelName], float] = defaultdict(float)
-        for follower, (at, demands) in list(self._told.items()):
-            if now - at > FRESH_S:
-                del self._told[follower]
+        for follower, (received_at, demands) in list(self._reports.items()):
+            if now - received_at > REPORT_LIFETIME_S:
+                del self._reports[follower]
                 continue
-            for one in demands:
-                sums[one.service, one.model] += one.busy
+            for demand in demands:
+                sums[demand.service, demand.model] += demand.busy
         return [
-            ModelDemandNote(service, model, round(busy, 2))
+            ModelDemandReport(service, model, round(busy, 2))
             for (service, model), busy in sums.items()
         ]
--- a/src/zinniaspool/core/fleet/instances.py
+++ b/src/zinniaspool/core/fleet/instances.py
@@ -1,4 +1,4 @@
-"""Instances: one run each of an upstream process on a VM."""
+"""Instances: the runs of upstream processes on VMs."""
 
 from collections import Counter
 from collections.abc import Collection, Iterable, Mapping
@@ -19,31 +19,32 @@
 __all__ = [
     "Instance",
     "InstanceId",
-    "InstanceLife",
+    "InstanceIncarnation",
     "InstanceState",
     "Membership",
     "MembershipState",
-    "is_reborn",
+    "has_restarted",
 ]
 
 InstanceId = NewType("InstanceId", str)
-"""One upstream process; one that starts again may keep it."""
+"""An upstream process; a process that restarts may keep its id."""
 
 
-class InstanceLife(NamedTuple):
-    """One life of an instance, which may start again under its id.
+class InstanceIncarnation(NamedTuple):
+    """One run of an instance, which may restart under the same id.
 
     Attributes:
-        instance: Which.
-        born: Unix milliseconds of its start, where it tells.
+        instance: The instance's id.
+        started_at_ms: Unix milliseconds of its start; None if it does not
+            report that.
     """
 
     instance: InstanceId
-    born: int | None
+    started_at_ms: int | None
 
 
 class InstanceState(Enum):
-    """Whether an instance takes new work."""
+    """Whether an instance accepts new work."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -54,21 +55,28 @@
 
     JOINING = "joining"
     READY = "ready"
-    """It holds the model; its group may be opened once all members do."""
+    """It has the model loaded; its group may open once all members have."""
 
     OPEN = "open"
-    """It is the first member and takes requests."""
+    """It is the group's head and accepts requests."""
 
     CLOSING = "closing"
-    """It finishes what runs and takes nothing new."""
+    """It finishes its running requests and accepts no new ones."""
 
     BROKEN = "broken"
-    """A member is missing; it refuses everything."""
+    """A member is missing; it refuses all requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """The replica group that an instance says it belongs to."""
+    """The replica group that an instance reports to belong to.
+
+    Attributes:
+        group: The group.
+        epoch: The group's fencing token.
+        rank: The instance's position in the group; the head has rank 0.
+        state: How far the instance has come in the group.
+    """
 
     group: GroupId
     epoch: Epoch
@@ -78,21 +86,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """What an instance last said of itself.
+    """What an instance last reported of itself.
 
     Attributes:
-        id: Which run.
-        service: What it answers for.
+        id: Its id.
+        service: The service whose requests it answers.
         address: Where it listens.
-        failure_domain: Where its VM is.
-        state: Whether it takes new work.
-        slots: Requests that it runs at a time.
-        fabric_domain: VMs of one domain can form a group; None for a plain
-            service.
+        failure_domain: The failure domain of its VM.
+        state: Whether it accepts new work.
+        slots: Number of requests that it runs at a time.
+        fabric_domain: VMs of one fabric domain can form a group; None for an
+            instance of a plain service.
         model: The model in its accelerators' memory.
         staged: Models in its host's memory.
         membership: Its replica group.
-        born: Unix milliseconds of its start; None where it does not tell.
+        started_at_ms: Unix milliseconds of its start; None if it does not
+            report that.
     """
 
     id: InstanceId
@@ -105,92 +114,104 @@
     model: ModelName | None = None
     staged: tuple[ModelName, ...] = ()
     membership: Membership | None = None
-    born: int | None = None
+    started_at_ms: int | None = None
+
 
+def has_restarted(earlier_start_ms: int | None, later_start_ms: int | None) -> bool:
+    """Return whether two start times show that a process has restarted.
 
-def is_reborn(before: int | None, now: int | None) -> bool:
-    """Tell from two starts whether a process has started again between them.
+    A restarted process has lost its earlier state: its group, its requests
+    and everything that others have found out about it no longer apply. A
+    process that has not reported its start yet counts as the same run.
 
-    It then holds and knows nothing of before: no group, no requests, and
-    nothing that was found out about it. One that has not told its start yet
-    is taken to be the same.
+    Args:
+        earlier_start_ms: Start in the earlier report, in Unix milliseconds.
+        later_start_ms: Start in the later report, in Unix milliseconds.
     """
-    return before is not None and now is not None and before != now
+    return (
+        earlier_start_ms is not None
+        and later_start_ms is not None
+        and earlier_start_ms != later_start_ms
+    )
 
 
-class InstancePart(NamedTuple):
-    """A part of the fleet that can be looked at by itself.
+class InstancePartition(NamedTuple):
+    """A part of the fleet that can be evaluated on its own.
 
     Attributes:
         service: The service of its instances.
-        fabric_domain: Where their VMs are; groups never span two.
+        fabric_domain: Where their VMs are; a group never spans two.
     """
 
     service: ServiceName
     fabric_domain: FabricDomainId | None
 
 
-class InstanceBook:
-    """All instances, by id and by part, and which parts have changed.
+class InstanceTable:
+    """All instances, by id and by partition, with a version per partition.
 
-    Whoever works something out of all instances keeps it by part, and works
-    it out anew only for those whose version has changed: a change of one
-    instance then costs as much in a large fleet as in a small one.
+    Code that derives something from all instances keeps its results by
+    partition and recomputes those whose version has changed. So a change of
+    one instance costs as much in a large fleet as in a small one.
     """
 
     def __init__(self) -> None:
         self._by_id: dict[InstanceId, Instance] = {}
-        self._parts: dict[InstancePart, dict[InstanceId, Instance]] = {}
-        self._versions: Counter[InstancePart] = Counter()
-        self._lost: frozenset[InstanceId] = frozenset()
+        self._partitions: dict[InstancePartition, dict[InstanceId, Instance]] = {}
+        self._versions: Counter[InstancePartition] = Counter()
+        self._unreachable: frozenset[InstanceId] = frozenset()
 
     @property
     def by_id(self) -> Mapping[InstanceId, Instance]:
-        """All instances."""
+        """All instances by their ids."""
         return self._by_id
 
     def put(self, instance: Instance) -> None:
-        """Take an instance in place of what was known of it."""
-        part = _find_part(instance)
+        """Add an instance, or replace what is known of it."""
+        partition = _find_partition(instance)
         before = self._by_id.get(instance.id)
-        if before is not None and _find_part(before) != part:
-            self.drop(instance.id)
+        if before is not None and _find_partition(before) != partition:
+            self.remove(instance.id)
         self._by_id[instance.id] = instance
-        self._parts.setdefault(part, {})[instance.id] = instance
-        self._versions[part] += 1
+        self._partitions.setdefault(partition, {})[instance.id] = instance
+        self._versions[partition] += 1
 
-    def drop(self, instance: InstanceId) -> Instance | None:
-        """Forget an instance; return what was known of it."""
+    def remove(self, instance: InstanceId) -> Instance | None:
+        """Remove an instance; return what was known of it, or None."""
         before = self._by_id.pop(instance, None)
         if before is None:
             return None
-        part = _find_part(before)
-        del self._parts[part][instance]
-        self._versions[part] += 1
+        partition = _find_partition(before)
+        del self._partitions[partition][instance]
+        self._versions[partition] += 1
         return before
 
-    def set_lost(self, lost: Collection[InstanceId]) -> None:
-        """Take which instances answer nobody, though they are known."""
-        changed = self._lost.symmetric_difference(lost)
-        self._lost = frozenset(lost)
-        for one in changed:
-            known = self._by_id.get(one)
+    def set_unreachable(self, unreachable: Collection[InstanceId]) -> None:
+        """Set which instances are unreachable although their records exist."""
+        changed = self._unreachable.symmetric_difference(unreachable)
+        self._unreachable = frozenset(unreachable)
+        for instance in changed:
+            known = self._by_id.get(instance)
             if known is not None:
-                self._versions[_find_part(known)] += 1
+                self._versions[_find_partition(known)] += 1
 
-    def list_parts(self) -> Iterable[InstancePart]:
-        """Return the parts that there are or have been."""
-        return self._parts.keys()
+    def list_partitions(self) -> Iterable[InstancePartition]:
+        """Return all partitions, including those that are empty by now."""
+        return self._partitions.keys()
 
-    def list_part(self, part: InstancePart) -> Iterable[Instance]:
-        """Return a part's instances that are not lost."""
-        known = self._parts.get(part, {})
-        return [one for name, one in known.items() if name not in self._lost]
+    def list_reachable(self, partition: InstancePartition) -> Iterable[Instance]:
+        """Return the instances of a partition that are not unreachable."""
+        known = self._partitions.get(partition, {})
+        return [
+            instance
+            for name, instance in known.items()
+            if name not in self._unreachable
+        ]
 
-    def get_version(self, part: InstancePart) -> int:
-        """Return a number that is another one after each change of a part."""
-        return self._versions[part]
+    def get_version(self, partition: InstancePartition) -> int:
+        """Return a number that changes with each change of a partition."""
+        return self._versions[partition]
 
 
-def _find_part(instance: Instance) -> InstancePart:
-    return InstancePart(instance.service, instance.fabric_domain)
+def _find_partition(instance: Instance) -> InstancePartition:
+    return InstancePartition(instance.service, instance.fabric_domain)
--- a/src/zinniaspool/core/fleet/loads.py
+++ b/src/zinniaspool/core/fleet/loads.py
@@ -1,4 +1,4 @@
-"""What processes have at a target."""
+"""The load that entry processes put on a target."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class TargetLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What one or all processes have at a target.
+    """The load of one or of all entry processes at a target.
 
     Attributes:
         requests: Requests in progress.
-        unread: Prompt tokens of those that have had no event yet.
+        unread: Prompt tokens of those requests that have had no event yet.
     """
 
     requests: int = 0
--- a/src/zinniaspool/core/fleet/mirror.py
+++ b/src/zinniaspool/core/fleet/mirror.py
@@ -1,12 +1,14 @@
-"""A process's copy of the store: what it believes, and how old that is.
+"""A process's copy of the store's keys.
 
 The copy only moves forward: an older revision of a key never replaces a newer
-one, whichever way it came. Entries whose owners keep them alive by heartbeats
-need one more care: while the store is away they lapse although their owners
-live, and their owners write them again within seconds of its return. Taking
-such an entry for a death would empty the fleet at each outage, so that for a
-while after a disturbance a removal is only noted, and believed when the entry
-is still missing at the end of it.
+one, whether it comes from the store or from a peer.
+
+Ephemeral keys, whose owners keep them alive by heartbeats, need one more
+rule. While the store is down they expire although their owners run, and the
+owners write them again within seconds of the store's return. If each of these
+removals counted as the end of an instance, every outage would empty the
+fleet. So for a while after an outage the copy defers such a removal, and
+applies it only if the key is still missing at the end of that time.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,21 +16,22 @@
 
 from zinniaspool.core.ids import Revision
 
-__all__ = ["Change", "MirrorEvent", "StoreMirror", "StoredItem"]
+__all__ = ["MirrorChange", "MirrorEvent", "StoreMirror", "StoredItem"]
 
-RETURN_GRACE_S = 2.4
-"""Seconds after the store's return in which entries come back: owners need up
-to two seconds, and the rest covers the way here."""
+REMOVAL_GRACE_S = 2.4
+"""Seconds after an outage of the store for which the removal of an ephemeral
+key is deferred. Owners need up to two seconds to write their keys again; the
+rest covers the delay until the write arrives here."""
 
 
-MOST_REMOVED = 8192
-"""Removals that are remembered, far more than come in the seconds for which a
-peer's copy can be behind."""
+MAX_REMEMBERED_REMOVALS = 8192
+"""Number of removals that are remembered. A peer's copy can be behind by a few
+seconds, in which far fewer keys are removed."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredItem:
-    """One key's value at one revision."""
+    """The value of one key at one revision."""
 
     key: str
     value: bytes
@@ -37,7 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MirrorEvent:
-    """One change that a source reports; ``value`` is None for a removal."""
+    """A change that the store or a peer reports.
+
+    Attributes:
+        key: The key that changed.
+        value: The new value; None if the key was removed.
+        revision: The store's revision of the write or of the removal.
+    """
 
     key: str
     value: bytes | None
@@ -45,8 +54,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """One change of the copy."""
+class MirrorChange:
+    """A change of one key of the copy; None stands for an absent key."""
 
     key: str
     before: StoredItem | None
@@ -54,97 +63,115 @@
 
 
 class StoreMirror:
-    """The copy.
+    """A copy of the store's keys that is kept from the store and from peers.
 
     Args:
-        lapses: Tells of a key whether its owner keeps it alive.
+        is_ephemeral: Returns whether a key expires unless its owner keeps it
+            alive.
 
     Attributes:
         as_of: The store's revision up to which the copy is complete.
-        serial: Counts this copy's changes.
-        since: The store's revision from which on all removals are known.
+        serial: Increases with each change of this copy.
+        history_start: The store's revision from which on the copy knows all
+            removals; 0 before the first full read.
     """
 
-    def __init__(self, lapses: Callable[[str], bool]) -> None:
+    def __init__(self, is_ephemeral: Callable[[str], bool]) -> None:
         self.as_of = Revision(0)
         self.serial = 0
-        self.since = Revision(0)
+        self.history_start = Revision(0)
         self._amended: set[str] = set()
-        self._changed: dict[str, tuple[int, Revision]] = {}
-        self._lapses = lapses
+        self._last_changes: dict[str, tuple[int, Revision]] = {}
+        self._is_ephemeral = is_ephemeral
         self._items: dict[str, StoredItem] = {}
-        self._removed: dict[str, Revision] = {}
-        self._missing: dict[str, float] = {}
-        self._disturbed_until = float("-inf")
+        self._removal_revisions: dict[str, Revision] = {}
+        self._deferred_until: dict[str, float] = {}
+        self._grace_ends_at = float("-inf")
 
     @property
-    def known(self) -> bool:
-        """Whether the store has been read at all."""
+    def is_loaded(self) -> bool:
+        """Whether the copy holds any state of the store yet."""
         return self.as_of > 0
 
     @property
-    def believed_as_of(self) -> Revision:
-        """The store's revision up to which all that is told is believed.
+    def confirmed_as_of(self) -> Revision:
+        """The store's revision up to which every change has been applied.
 
-        A removal that is doubted is told to nobody yet. A follower that took
-        the copy for complete beyond it, and went on with another process that
-        believes it already, would keep the key for good.
+        A deferred removal is not passed on to followers yet. If a follower
+        regarded this copy as complete beyond that removal, and then followed
+        another process that has already applied it, the follower would never
+        learn of the removal and would keep the key for good.
         """
-        doubted = [self._removed[key] for key in self._missing if key in self._removed]
-        return Revision(min([self.as_of, *(one - 1 for one in doubted)]))
+        deferred = [
+            self._removal_revisions[key]
+            for key in self._deferred_until
+            if key in self._removal_revisions
+        ]
+        return Revision(min([self.as_of, *(revision - 1 for revision in deferred)]))
 
     def get(self, key: str) -> StoredItem | None:
         """Return a key's item, or None."""
         return self._items.get(key)
 
-    def list_below(self, prefix: str) -> list[StoredItem]:
-        """Return the items below a prefix."""
-        return [one for key, one in self._items.items() if key.startswith(prefix)]
+    def list_by_prefix(self, prefix: str) -> list[StoredItem]:
+        """Return the items whose keys start with a prefix."""
+        return [item for key, item in self._items.items() if key.startswith(prefix)]
 
     def items(self) -> list[StoredItem]:
         """Return all items."""
         return list(self._items.values())
 
-    def list_since(self, serial: int) -> list[tuple[str, StoredItem | None, Revision]]:
-        """Return the keys that changed after one of this copy's changes."""
+    def list_since_serial(
+        self, serial: int
+    ) -> list[tuple[str, StoredItem | None, Revision]]:
+        """Return the keys that changed after a serial number of this copy.
+
+        Each key comes with its item, or None if it was removed, and with the
+        revision of its last change.
+        """
         return [
-            (key, self._items.get(key), revision)
-            for key, (at, revision) in self._changed.items()
-            if at > serial
+            (key, self._items.get(key), changed_at)
+            for key, (changed_as, changed_at) in self._last_changes.items()
+            if changed_as > serial
         ]
 
-    def list_newer(
-        self, as_of: Revision
+    def list_since_revision(
+        self, revision: Revision
     ) -> list[tuple[str, StoredItem | None, Revision]]:
-        """Return the keys that changed after a revision of the store."""
+        """Return the keys that changed after a revision of the store.
+
+        Amended keys are always included, since their revision does not show
+        the amendment. The result has the form of ``list_since_serial``.
+        """
         return [
-            (key, self._items.get(key), revision)
-            for key, (_, revision) in self._changed.items()
-            if revision > as_of or key in self._amended
+            (key, self._items.get(key), changed_at)
+            for key, (_, changed_at) in self._last_changes.items()
+            if changed_at > revision or key in self._amended
         ]
 
-    def touch(self) -> None:
-        """Count a change of what is told beside the copy, with none in it."""
+    def bump_serial(self) -> None:
+        """Advance the serial, so that followers are sent an update."""
         self.serial += 1
 
-    def _note(self, key: str, revision: Revision) -> None:
+    def _record_change(self, key: str, revision: Revision) -> None:
         self.serial += 1
-        self._changed[key] = (self.serial, revision)
+        self._last_changes[key] = (self.serial, revision)
 
-    def amend(self, key: str, value: bytes) -> list[Change]:
-        """Change a key's value to what its owner says by itself.
+    def amend(self, key: str, value: bytes) -> list[MirrorChange]:
+        """Replace a key's value by what its owner reports directly.
 
-        While the store is away, an owner's own word is all there is. The
-        revision stays, so that whatever the store tells later replaces it.
+        While the store is down, owners' own reports are the only source. The
+        key keeps its revision, so that any later write from the store
+        replaces the amended value.
         """
         before = self._items.get(key)
         if before is None or before.value == value:
             return []
         return self._put(StoredItem(key, value, before.revision), amended=True)
 
-    def disturb(self, now: float) -> None:
-        """Note that the store is away: removals are doubted for a while."""
-        self._disturbed_until = now + RETURN_GRACE_S
+    def mark_outage(self, now: float) -> None:
+        """Record that the store is down, and defer removals for a while."""
+        self._grace_ends_at = now + REMOVAL_GRACE_S
 
     def replace(
         self,
@@ -153,18 +180,21 @@
         now: float,
         *,
         amended: bool = False,
-    ) -> list[Change]:
-        """Take a whole reading of the store.
+    ) -> list[MirrorChange]:
+        """Merge a full read of the store, or of a peer's copy.
+
+        Keys that the read lacks are removed, except for those that were
+        written after ``as_of``.
 
         Args:
             items: All keys.
-            as_of: The oldest revision of the store that the reading shows.
+            as_of: The oldest revision of the store that the read shows.
             now: Seconds.
             amended: Whether values may be newer than their revisions, as in
-                the copy of a peer that amends its own.
+                the copy of a peer that amends values itself.
         """
-        changes: list[Change] = []
-        self.since = self.since or as_of
+        changes: list[MirrorChange] = []
+        self.history_start = self.history_start or as_of
         seen = set()
         for item in items:
             seen.add(item.key)
@@ -182,9 +212,16 @@
         now: float,
         *,
         amended: bool = False,
-    ) -> list[Change]:
-        """Take the changes that a watch reports up to a revision."""
-        changes: list[Change] = []
+    ) -> list[MirrorChange]:
+        """Apply the changes that a watch reports up to a revision.
+
+        Args:
+            events: The changes.
+            as_of: The store's revision up to which they are complete.
+            now: Seconds.
+            amended: As for ``replace``.
+        """
+        changes: list[MirrorChange] = []
         for event in events:
             if event.value is None:
                 changes += self._remove(event.key, event.revision, now)
@@ -194,28 +231,30 @@
         self.as_of = max(self.as_of, as_of)
         return changes
 
-    def expire(self, now: float) -> list[Change]:
-        """Believe the removals whose time to come back is over."""
-        if self._disturbed_until > now:
+    def apply_due_removals(self, now: float) -> list[MirrorChange]:
+        """Apply the deferred removals whose grace period is over."""
+        if self._grace_ends_at > now:
             return []
-        due = [key for key, until in self._missing.items() if until <= now]
-        changes: list[Change] = []
+        due = [key for key, until in self._deferred_until.items() if until <= now]
+        changes: list[MirrorChange] = []
         for key in due:
-            del self._missing[key]
+            del self._deferred_until[key]
             before = self._items.pop(key, None)
             if before is not None:
-                self._note(key, self._removed.get(key, before.revision))
-                changes.append(Change(key, before, None))
+                self._record_change(
+                    key, self._removal_revisions.get(key, before.revision)
+                )
+                changes.append(MirrorChange(key, before, None))
         return changes
 
-    def _put(self, item: StoredItem, *, amended: bool) -> list[Change]:
+    def _put(self, item: StoredItem, *, amended: bool) -> list[MirrorChange]:
         before = self._items.get(item.key)
         if before is not None and before.revision > item.revision:
             return []
-        if self._removed.get(item.key, 0) >= item.revision:
+        if self._removal_revisions.get(item.key, 0) >= item.revision:
             return []
-        self._removed.pop(item.key, None)
-        self._missing.pop(item.key, None)
+        self._removal_revisions.pop(item.key, None)
+        self._deferred_until.pop(item.key, None)
         same = before is not None and before.revision == item.revision
         if before is not None and same and (not amended or before == item):
             return []
@@ -224,27 +263,28 @@
             self._amended.add(item.key)
         else:
             self._amended.discard(item.key)
-        self._note(item.key, item.revision)
-        return [Change(item.key, before, item)]
+        self._record_change(item.key, item.revision)
+        return [MirrorChange(item.key, before, item)]
 
     def _remember_removal(self, key: str, revision: Revision) -> None:
-        known = self._removed.pop(key, Revision(0))
-        self._removed[key] = max(known, revision)
-        if len(self._removed) > MOST_REMOVED:
-            del self._removed[next(iter(self._removed))]
+        known = self._removal_revisions.pop(key, Revision(0))
+        self._removal_revisions[key] = max(known, revision)
+        if len(self._removal_revisions) > MAX_REMEMBERED_REMOVALS:
+            del self._removal_revisions[next(iter(self._removal_revisions))]
 
-    def _remove(self, key: str, revision: Revision, now: float) -> list[Change]:
+    def _remove(self, key: str, revision: Revision, now: float) -> list[MirrorChange]:
         before = self._items.get(key)
         if before is not None and before.revision > revision:
             return []
-        # Also for a key that is not known: an older copy may bring it yet.
+        # An absent key's removal is remembered too: an older copy of a peer
+        # may still contain the key.
         self._remember_removal(key, revision)
         if before is None:
             return []
-        if self._lapses(key) and now < self._disturbed_until:
-            self._missing.setdefault(key, self._disturbed_until)
+        if self._is_ephemeral(key) and now < self._grace_ends_at:
+            self._deferred_until.setdefault(key, self._grace_ends_at)
             return []
-        self._missing.pop(key, None)
+        self._deferred_until.pop(key, None)
         del self._items[key]
-        self._note(key, revision)
-        return [Change(key, before, None)]
+        self._record_change(key, revision)
+        return [MirrorChange(key, before, None)]
--- a/src/zinniaspool/core/fleet/nodes.py
+++ b/src/zinniaspool/core/fleet/nodes.py
@@ -1,4 +1,4 @@
-"""The project's own records in the store, and their keys."""
+"""The records that zinniaspool itself writes to the store, and their keys."""
 
 from enum import Enum
 
@@ -12,44 +12,47 @@
     "HOLDER_KEY",
     "NODES_PREFIX",
     "PLANS_PREFIX",
-    "HeldRecord",
+    "QuarantineRecord",
     "HolderRecord",
     "NodeRecord",
     "NodeState",
 ]
 
 HOLDER_KEY = "zinnia/holder"
-"""Who plans groups."""
+"""The key of the holder, the process that plans groups."""
 
 NODES_PREFIX = "zinnia/nodes/"
-"""Entry processes; each key goes with its process's lease."""
+"""Prefix of the entry processes' keys; each expires with its process's
+lease."""
 
 HELD_PREFIX = "zinnia/held/"
-"""Contents that are sent to no upstream; each key goes with a lease."""
+"""Prefix of the keys of quarantined contents, which are sent to no upstream;
+each expires with a lease."""
 
 PLANS_PREFIX = "zinnia/plans/"
-"""Replica groups by fabric domain; these last."""
+"""Prefix of the plans of replica groups, by fabric domain; these keys have no
+lease and do not expire."""
 
 
 class NodeState(Enum):
-    """Whether callers may be sent to an entry process."""
+    """Whether an entry process accepts new callers."""
 
     READY = "ready"
     LEAVING = "leaving"
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """An entry process as the others find it.
+    """The record by which other processes find an entry process.
 
     Attributes:
         node: The VM's name.
         caller_address: Where callers connect.
-        peer_address: Where other processes of ours connect.
-        failure_domain: Where it runs.
+        peer_address: Where other zinniaspool processes connect.
+        failure_domain: The VM's failure domain.
         region: The region of that failure domain.
         state: Whether callers may be sent there.
-        control_address: Where its control process can be followed; empty
-            where there is none.
+        control_address: Where the VM's control process can be followed; empty
+            if it has none.
     """
 
     node: NodeId
@@ -61,12 +64,12 @@
     control_address: Address = Address("")
 
 
-class HeldRecord(msgspec.Struct, frozen=True):
-    """A content under which upstreams crashed.
+class QuarantineRecord(msgspec.Struct, frozen=True):
+    """A content that is quarantined because upstreams crashed on it.
 
     Attributes:
-        node: Which VM's entry process found it out.
-        crashed: The instances.
+        node: The VM whose entry process found this out.
+        crashed: The instances that crashed.
     """
 
     node: NodeId
@@ -77,9 +80,9 @@
     """The process that plans groups.
 
     Attributes:
-        node: Its VM.
-        peer_address: Where the others reach it.
-        start: Tells its starts apart.
+        node: The VM that it runs on.
+        peer_address: Where other processes reach it.
+        start: Identifies one start of the process.
     """
 
     node: NodeId
--- a/src/zinniaspool/core/fleet/reachability.py
+++ b/src/zinniaspool/core/fleet/reachability.py
@@ -1,9 +1,9 @@
-"""Which entry VMs callers can get through to, as one of them sees it.
+"""Which entry VMs callers can reach, as seen from one of these VMs.
 
-A VM that loses its power stays in the store until its lease lapses, and for as
-long as the store is away in whatever copy a process has. Callers that are sent
-there lose a second each. So each process tries the others now and then, and
-leaves those out that it cannot reach.
+The record of a VM that loses its power stays in the store until its lease
+expires, and in each process's copy for as long as the store is down. A caller
+that is sent to such a VM loses a second. So each process regularly probes the
+other VMs and stops announcing those that it cannot reach.
 """
 
 import random
@@ -12,73 +12,92 @@
 
 from zinniaspool.core.ids import NodeId
 
-__all__ = ["Reachability", "TryOutcome"]
+__all__ = ["ProbeOutcome", "ReachabilityTracker"]
 
-SAMPLE = 4
-"""Others that are tried each time: of eight VMs, each about once a second."""
+SAMPLE_SIZE = 4
+"""Number of healthy VMs that are probed in each round. In a fleet of eight VMs
+each one is probed about once a second."""
 
-FAILURES = 2
-"""Tries without an answer after which a VM counts as unreachable: a link that
-loses packets loses two in a row seldom."""
+FAILURES_UNTIL_UNREACHABLE = 2
+"""Probes in a row without an answer after which a VM counts as unreachable: a
+link that loses packets seldom loses two in a row."""
 
-MOST_PART = 0.5
-"""Part of the others from which on it is this VM that is cut off; callers may
-well reach those that it cannot."""
+MAX_UNREACHABLE_PART = 0.5
+"""Part of the other VMs that may be unreachable. With more, this VM is
+probably the one that is cut off, and callers may well reach the VMs that it
+cannot reach."""
 
 
-class TryOutcome(Enum):
-    """What came of trying to connect to a VM."""
+class ProbeOutcome(Enum):
+    """The result of an attempt to connect to a VM."""
 
     REACHED = "reached"
     REFUSED = "refused"
-    """The VM is there and its process is not."""
+    """The VM is up, but its process is not running."""
 
-    SILENT = "silent"
+    NO_ANSWER = "silent"
 
 
-class Reachability:
-    """What the tries of one process have shown.
+class ReachabilityTracker:
+    """Decides which VMs to probe and which of them callers may be sent to.
+
+    The VMs that its methods take and return never include this one.
 
     Args:
-        source: Chooses whom to try.
+        random_source: Used to draw the VMs to probe.
     """
 
-    def __init__(self, source: random.Random) -> None:
-        self._source = source
+    def __init__(self, random_source: random.Random) -> None:
+        self._random_source = random_source
         self._failures: dict[NodeId, int] = {}
         self._unreachable: set[NodeId] = set()
         self._suspected: set[NodeId] = set()
 
-    def choose(self, others: Collection[NodeId]) -> list[NodeId]:
-        """Return whom to try now: the doubtful ones, and some others."""
-        for name in self._failures.keys() - set(others):
+    def choose_probes(self, vms: Collection[NodeId]) -> list[NodeId]:
+        """Return the VMs to probe now: all suspects, and a sample of the rest.
+
+        Suspects are the VMs whose last probe failed and those that another
+        process has reported since the last call.
+        """
+        for name in self._failures.keys() - set(vms):
             del self._failures[name]
-        self._unreachable &= set(others)
-        doubtful = (self._suspected | self._failures.keys()) & set(others)
+        self._unreachable &= set(vms)
+        suspects = (self._suspected | self._failures.keys()) & set(vms)
         self._suspected.clear()
-        sound = sorted(set(others) - doubtful)
-        sample = self._source.sample(sound, min(SAMPLE, len(sound)))
-        return [*sorted(doubtful), *sample]
+        healthy = sorted(set(vms) - suspects)
+        sample = self._random_source.sample(healthy, min(SAMPLE_SIZE, len(healthy)))
+        return [*sorted(suspects), *sample]
 
     def suspect(self, node: NodeId) -> None:
-        """Have a VM tried next that another process did not reach."""
+        """Have a VM probed next because another process did not reach it."""
         self._suspected.add(node)
 
-    def note(self, node: NodeId, outcome: TryOutcome) -> bool:
-        """Take a try's outcome; tell whether a VM has become unreachable."""
-        if outcome is TryOutcome.REACHED:
+    def record_outcome(self, node: NodeId, outcome: ProbeOutcome) -> bool:
+        """Record a probe's outcome.
+
+        Returns:
+            Whether the VM has just become unreachable.
+        """
+        if outcome is ProbeOutcome.REACHED:
             self._failures.pop(node, None)
             self._unreachable.discard(node)
             return False
         self._failures[node] = self._failures.get(node, 0) + 1
-        lost = outcome is TryOutcome.REFUSED or self._failures[node] >= FAILURES
-        if not lost or node in self._unreachable:
+        unreachable = (
+            outcome is ProbeOutcome.REFUSED
+            or self._failures[node] >= FAILURES_UNTIL_UNREACHABLE
+        )
+        if not unreachable or node in self._unreachable:
             return False
         self._unreachable.add(node)
         return True
 
-    def list_usable(self, others: Collection[NodeId]) -> set[NodeId]:
-        """Return those of the other VMs that callers may be sent to."""
-        if len(self._unreachable & set(others)) > MOST_PART * len(others):
-            return set(others)
-        return set(others) - self._unreachable
+    def list_usable(self, vms: Collection[NodeId]) -> set[NodeId]:
+        """Return the other VMs that callers may be sent to.
+
+        If this VM cannot reach most of them, it is probably cut off itself,
+        and all of them are returned.
+        """
+        if len(self._unreachable & set(vms)) > MAX_UNREACHABLE_PART * len(vms):
+            return set(vms)
+        return set(vms) - self._unreachable
--- a/src/zinniaspool/core/fleet/relays.py
+++ b/src/zinniaspool/core/fleet/relays.py
@@ -1,10 +1,11 @@
-"""Whom a process follows, so that nobody has to tell the whole fleet.
-
-The holder learns of each change from the store and would have to tell every
-other VM: its work and what its link carries would grow with the fleet, on a
-VM that also serves callers. So in a larger fleet only a few VMs of each
-failure domain follow the holder, and the others follow one of those. Whoever
-finds its relay silent takes the next one, and learns from the store meanwhile.
+"""Choice of the processes to follow, so that none serves the whole fleet.
+
+The holder learns of each change from the store. If it passed each change on to
+every other VM itself, its work and its link's traffic would grow with the
+fleet, on a VM that also serves callers. So in a larger fleet only a few VMs of
+each failure domain, the relays, follow the holder, and the other VMs follow a
+relay. A process whose relay is unresponsive changes to the next one, and reads
+from the store meanwhile.
 """
 
 from collections.abc import Mapping
@@ -15,40 +16,45 @@
 __all__ = ["FANOUT", "choose_relays"]
 
 FANOUT = 16
-"""VMs that one process tells, about: at ten changes a second it spends some
-hundredths of half a core on it."""
+"""Approximate number of VMs that follow one process. At ten changes a second,
+serving them takes some hundredths of half a core."""
 
-CHOICES = 2
-"""Relays that a process knows: with the first one silent, the second; the
-holder itself after that."""
+RELAY_CHOICES = 2
+"""Relays that a process may follow: a second one for when the first is
+unresponsive. After that the process follows the holder itself."""
 
 
 def choose_relays(
     own: NodeId, holder: NodeId, nodes: Mapping[NodeId, FailureDomainId]
 ) -> list[NodeId]:
-    """Return the VMs that one may follow in place of the holder, best first.
+    """Return the VMs that a VM may follow in place of the holder, best first.
 
     Args:
-        own: The VM that wants to know.
+        own: The VM that follows.
         holder: The VM of the holder.
-        nodes: All VMs that can be followed, by failure domain.
+        nodes: All VMs that can be followed, with their failure domains.
 
     Returns:
-        None where it follows the holder itself: in a small fleet, or since it
-        is a relay.
+        An empty list if the VM follows the holder itself: because the fleet
+        is small, because the VM is a relay, or because its failure domain has
+        none.
     """
     if len(nodes) <= FANOUT or own == holder:
         return []
-    domain = nodes.get(own)
-    near = [name for name, one in nodes.items() if one == domain and name != holder]
-    near.sort(key=lambda name: (_mix(name, holder), name))
-    relays = near[: -(-len(near) // FANOUT)]
+    own_domain = nodes.get(own)
+    candidates = [
+        name
+        for name, domain in nodes.items()
+        if domain == own_domain and name != holder
+    ]
+    candidates.sort(key=lambda name: (_rank(name, holder), name))
+    relays = candidates[: -(-len(candidates) // FANOUT)]
     if own in relays or not relays:
         return []
     first = crc32(own.encode()) % len(relays)
-    return (relays[first:] + relays[:first])[:CHOICES]
+    return (relays[first:] + relays[:first])[:RELAY_CHOICES]
 
 
-def _mix(name: NodeId, holder: NodeId) -> int:
-    """Return a number to draw relays by, another one for each holder."""
+def _rank(name: NodeId, holder: NodeId) -> int:
+    """Return the number to draw relays by, a different one for each holder."""
     return crc32(f"{holder}/{name}".encode())
--- a/src/zinniaspool/core/fleet/status.py
+++ b/src/zinniaspool/core/fleet/status.py
@@ -1,4 +1,4 @@
-"""What an engine says of itself when it is asked."""
+"""The status that an engine reports of itself."""
 
 import msgspec
 
@@ -9,16 +9,16 @@
 
 
 class EngineStatus(msgspec.Struct, frozen=True):
-    """What an engine answers about itself when asked.
+    """What an engine answers when it is queried.
 
     Attributes:
         membership: Its replica group.
         model: The model in its accelerators' memory.
         staged: Models in its host's memory.
-        running: Requests that it runs.
-        waiting: Requests that wait there.
-        slowness: How many times as long as usual it takes.
-        born: Unix milliseconds of its start; None where it does not tell.
+        running: Number of requests that it runs.
+        waiting: Number of requests that wait at the engine.
+        slowness: Factor by which it takes longer than usual.
+        born: Unix milliseconds of its start; None if it does not report that.
     """
 
     membership: Membership | None
--- a/src/zinniaspool/core/fleet/wholeness.py
+++ b/src/zinniaspool/core/fleet/wholeness.py
@@ -1,4 +1,4 @@
-"""Which replica groups are whole, by what their members say themselves."""
+"""Which replica groups are complete, according to their members' reports."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -11,25 +11,26 @@
 )
 from zinniaspool.core.ids import Epoch, GroupId, ModelName
 
-__all__ = ["WholeGroup", "find_whole_groups"]
+__all__ = ["CompleteGroup", "find_complete_groups"]
 
-_HOLDING = frozenset(
+_LOADED_STATES = frozenset(
     {MembershipState.READY, MembershipState.OPEN, MembershipState.CLOSING}
 )
-_SERVING = frozenset({MembershipState.OPEN, MembershipState.CLOSING})
+_SERVING_STATES = frozenset({MembershipState.OPEN, MembershipState.CLOSING})
 
 
 @dataclass(frozen=True, slots=True)
-class WholeGroup:
-    """A group whose members are all there, and whose head serves.
+class CompleteGroup:
+    """A group that has all its members and whose head serves requests.
 
     Attributes:
-        group: Its name.
-        epoch: Its fencing number.
-        model: What it serves.
-        head: The member that takes requests.
-        members: All of them.
-        ending: Whether it finishes what runs and is to get nothing new.
+        group: The group's id.
+        epoch: Its fencing token.
+        model: The model that it serves.
+        head: The member that receives the requests.
+        members: All its members.
+        is_draining: Whether it finishes its running requests and must be
+            sent no new ones.
     """
 
     group: GroupId
@@ -37,45 +38,56 @@
     model: ModelName
     head: Instance
     members: tuple[Instance, ...]
-    ending: bool = False
+    is_draining: bool = False
 
 
-def find_whole_groups(
+def find_complete_groups(
     instances: Iterable[Instance], sizes: dict[ModelName, int]
-) -> list[WholeGroup]:
-    """Return the groups that serve, those that end in order among them.
+) -> list[CompleteGroup]:
+    """Return the groups that serve, including those that are draining.
 
-    A head goes on taking requests after it has lost a member, and they wait
-    there for nothing. So a head's word is not enough: each member must say
-    itself that it holds this group at this epoch, and none may be leaving.
+    A head goes on accepting requests after its group has lost a member, and
+    they wait there in vain. So the head's report is not enough: each member
+    must report itself that it has the model loaded for this group at this
+    epoch. A group with a member that is leaving counts as draining.
+
+    Args:
+        instances: The instances to look for groups in.
+        sizes: The number of VMs in a group, by model.
     """
     found: defaultdict[tuple[GroupId, Epoch], list[Instance]] = defaultdict(list)
-    for one in instances:
-        held = one.membership
-        if held is None or held.state not in _HOLDING:
+    for instance in instances:
+        membership = instance.membership
+        if membership is None or membership.state not in _LOADED_STATES:
             continue
-        found[held.group, held.epoch].append(one)
-    whole = []
+        found[membership.group, membership.epoch].append(instance)
+    complete = []
     for (group, epoch), members in found.items():
-        head = next((one for one in members if _serves(one)), None)
+        head = next((member for member in members if _serves(member)), None)
         if head is None or head.model is None:
             continue
         if len(members) != sizes.get(head.model):
             continue
-        # A member that leaves stays until its group's requests have ended.
-        ending = _is_closing(head) or any(
-            one.state is InstanceState.LEAVING for one in members
+        # A leaving member stays until its group's requests have ended.
+        is_draining = _is_closing(head) or any(
+            member.state is InstanceState.LEAVING for member in members
+        )
+        found_group = CompleteGroup(
+            group, epoch, head.model, head, tuple(members), is_draining
         )
-        found_group = WholeGroup(group, epoch, head.model, head, tuple(members), ending)
-        whole.append(found_group)
-    return whole
+        complete.append(found_group)
+    return complete
 
 
 def _serves(instance: Instance) -> bool:
-    held = instance.membership
-    return held is not None and held.rank == 0 and held.state in _SERVING
+    membership = instance.membership
+    return (
+        membership is not None
+        and membership.rank == 0
+        and membership.state in _SERVING_STATES
+    )
 
 
 def _is_closing(head: Instance) -> bool:
-    held = head.membership
-    return held is not None and held.state is MembershipState.CLOSING
+    membership = head.membership
+    return membership is not None and membership.state is MembershipState.CLOSING
--- a/src/zinniaspool/core/formation/allocation.py
+++ b/src/zinniaspool/core/formation/allocation.py
@@ -275,7 +275,7 @@
         for as long as a standby VM of another model takes to warm this one up.
         """
         exposed = max(1, groups_here[model.name] * model.size)
-        return exposed * model.size * model.warm_s / (standby_vms[model.name] + 1)
+        return exposed * model.size * model.warm_load_s / (standby_vms[model.name] + 1)
 
     loaded = next((spec for spec in models if spec.name == vm.loaded_model), None)
     model = loaded or max(models, key=estimate_saving)
--- a/src/zinniaspool/core/formation/census.py
+++ b/src/zinniaspool/core/formation/census.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from zinniaspool.core.fleet import Instance, InstanceId, is_reborn
+from zinniaspool.core.fleet import Instance, InstanceId, has_restarted
 from zinniaspool.core.formation.lifecycle import InstanceView
 from zinniaspool.core.ids import FabricDomainId, ModelName, ServiceName
 
@@ -122,13 +122,13 @@
         elif before.fabric_domain != instance.fabric_domain:
             _add_changed_domain(change, before.fabric_domain)
         _add_changed_domain(change, instance.fabric_domain)
-        if is_reborn(self._started_at_ms.get(instance.id), instance.born):
+        if has_restarted(self._started_at_ms.get(instance.id), instance.started_at_ms):
             # A restarted VM is in no group and has no model loaded.
             self.loaded_models.pop(instance.id, None)
             self.view.unreachable.discard(instance.id)
             change.restarted.append(instance.id)
-        if instance.born is not None:
-            self._started_at_ms[instance.id] = instance.born
+        if instance.started_at_ms is not None:
+            self._started_at_ms[instance.id] = instance.started_at_ms
         if instance.membership is not None and instance.model is not None:
             self.loaded_models[instance.id] = instance.model
 
--- a/src/zinniaspool/core/formation/planner.py
+++ b/src/zinniaspool/core/formation/planner.py
@@ -139,7 +139,7 @@
             if service not in self._loads:
                 self._loads[service] = LoadBudget(
                     engine.loads_per_s,
-                    engine.loads_at_once,
+                    engine.full_speed_loads,
                     self._load_window_s,
                     self._loads_unlimited_until,
                 )
--- a/src/zinniaspool/core/formation/provision.py
+++ b/src/zinniaspool/core/formation/provision.py
@@ -60,7 +60,11 @@
         for model in demands:
             count = groups[model.spec.name]
             # The share is a part of the VMs' work, and a group has many VMs.
-            demand = model.requests if measured else model.spec.share / model.spec.size
+            demand = (
+                model.requests
+                if measured
+                else model.spec.initial_share / model.spec.size
+            )
             utilization = model.requests / (
                 max(count, MIN_REMAINING_GROUPS) * model.slots
             )
--- a/src/zinniaspool/core/groups/allocation.py
+++ b/src/zinniaspool/core/groups/allocation.py
@@ -393,7 +393,7 @@
             self._withdraw(
                 where,
                 group,
-                DrainCause.TAKEN,
+                DrainCause.REASSIGNED,
                 "another model lacks a guaranteed group",
             )
         return True
--- a/src/zinniaspool/core/groups/means.py
+++ b/src/zinniaspool/core/groups/means.py
@@ -7,7 +7,7 @@
 from zinniaspool.core.groups.repair import BrokenGroup, RepairMeans
 from zinniaspool.core.groups.views import VmCondition
 from zinniaspool.core.ids import FabricDomainId, ModelName, VmId
-from zinniaspool.core.plans import DomainPlan, GroupPlan, GroupStage, OutVm
+from zinniaspool.core.plans import DomainPlan, ExcludedVm, GroupPlan, GroupStage
 
 __all__ = ["FoundMeans", "MeansFinder"]
 
@@ -30,7 +30,9 @@
         now: Seconds, on the clock of the VMs' views.
     """
 
-    def __init__(self, given: DomainInput, out: tuple[OutVm, ...], now: float) -> None:
+    def __init__(
+        self, given: DomainInput, out: tuple[ExcludedVm, ...], now: float
+    ) -> None:
         self._given = given
         self._index = given.index
         self._out = {vm.vm for vm in out}
--- a/src/zinniaspool/core/groups/moves.py
+++ b/src/zinniaspool/core/groups/moves.py
@@ -15,9 +15,9 @@
 from zinniaspool.core.plans import (
     DomainPlan,
     DrainCause,
+    ExclusionReason,
     GroupPlan,
     GroupStage,
-    OutReason,
 )
 
 __all__ = ["PlannedMove", "find_move"]
@@ -58,7 +58,7 @@
 ) -> PlannedMove | None:
     """Return a group whose VM leaves: it stops soon, out of turn or not."""
     plan = plans[given.domain]
-    leaving = {out.vm for out in plan.out if out.reason is OutReason.LEAVING}
+    leaving = {out.vm for out in plan.out if out.reason is ExclusionReason.LEAVING}
     for group in plan.groups:
         gone = [vm for vm in group.vms if vm in leaving]
         if group.stage is GroupStage.SERVING and gone:
@@ -121,7 +121,7 @@
     if group.version != model.version and (spared or group.id not in given.ready):
         reason = f"version {group.version} becomes {model.version}"
         return PlannedMove(group, DrainCause.ROLLOUT, reason)
-    slow = {out.vm for out in plan.out if out.reason is OutReason.STRAGGLING}
+    slow = {out.vm for out in plan.out if out.reason is ExclusionReason.STRAGGLING}
     gone = [vm for vm in group.vms if vm in slow]
     if not gone:
         return None
--- a/src/zinniaspool/core/groups/planner.py
+++ b/src/zinniaspool/core/groups/planner.py
@@ -32,10 +32,10 @@
     DomainPlan,
     DrainCause,
     EngineState,
+    ExcludedVm,
+    ExclusionReason,
     GroupPlan,
     GroupStage,
-    OutReason,
-    OutVm,
 )
 
 __all__ = ["plan_domain"]
@@ -94,7 +94,7 @@
 
     def _mark_out(self) -> None:
         before = {out.vm: out.reason for out in self._out}
-        after: dict[VmId, OutReason] = {}
+        after: dict[VmId, ExclusionReason] = {}
         for vm in self._index.domains.get(self._given.domain, ()):
             self._steps += 1
             view = self._given.view(vm.id)
@@ -111,7 +111,9 @@
             out = after.get(name)
             kind = ChangeKind.VM_OUT if out else ChangeKind.VM_BACK
             self._note(kind, (f"vm:{name}",), out.value if out else "reports again")
-        self._out = tuple(OutVm(vm, reason) for vm, reason in sorted(after.items()))
+        self._out = tuple(
+            ExcludedVm(vm, reason) for vm, reason in sorted(after.items())
+        )
 
     def _is_absent(self, vm: VmId) -> bool:
         return self._given.view(vm).condition is VmCondition.ABSENT
@@ -287,7 +289,7 @@
                 self._release(found.donor, f"its VMs repair another: {decision.reason}")
             case RepairChoice.TAKE if found.victim is not None:
                 reason = f"its VMs repair another: {decision.reason}"
-                self._drain(found.victim, DrainCause.TAKEN, reason)
+                self._drain(found.victim, DrainCause.REASSIGNED, reason)
             case RepairChoice.DISSOLVE:
                 self._release(group, decision.reason, decision.rejected)
             case _:
--- a/src/zinniaspool/core/groups/views.py
+++ b/src/zinniaspool/core/groups/views.py
@@ -10,8 +10,8 @@
     DomainPlan,
     EngineReport,
     EngineState,
+    ExclusionReason,
     GroupPlan,
-    OutReason,
 )
 
 __all__ = [
@@ -36,15 +36,15 @@
     LEAVING = "leaving"
     STRAGGLING = "straggling"
 
-    def out_reason(self) -> OutReason | None:
+    def out_reason(self) -> ExclusionReason | None:
         """Return why a VM of this condition may not join a group."""
         return _OUT_REASONS.get(self)
 
 
-_OUT_REASONS: Mapping[VmCondition, OutReason] = {
-    VmCondition.ABSENT: OutReason.ABSENT,
-    VmCondition.LEAVING: OutReason.LEAVING,
-    VmCondition.STRAGGLING: OutReason.STRAGGLING,
+_OUT_REASONS: Mapping[VmCondition, ExclusionReason] = {
+    VmCondition.ABSENT: ExclusionReason.ABSENT,
+    VmCondition.LEAVING: ExclusionReason.LEAVING,
+    VmCondition.STRAGGLING: ExclusionReason.STRAGGLING,
 }
 
 
--- a/src/zinniaspool/core/ids.py
+++ b/src/zinniaspool/core/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers and numbers with a meaning of their own."""
+"""Types for identifiers and for numbers with a special meaning."""
 
 from typing import NewType
 
@@ -26,10 +26,10 @@
 ]
 
 Address = NewType("Address", str)
-"""An IP number and a port, ``10.0.0.1:8080``."""
+"""An IP address and a port, such as ``10.0.0.1:8080``."""
 
 ContentId = NewType("ContentId", str)
-"""Names a request by its caller, its target and its body."""
+"""Identifies a request by its method, target, customer and body."""
 
 CustomerId = NewType("CustomerId", str)
 FabricDomainId = NewType("FabricDomainId", str)
@@ -39,40 +39,40 @@
 """VMs of one failure domain may fail together."""
 
 GroupId = NewType("GroupId", str)
-"""A replica group, unique over its fabric domain's whole history."""
+"""A replica group; never reused within its fabric domain."""
 
 IdempotencyKey = NewType("IdempotencyKey", str)
 ModelName = NewType("ModelName", str)
 ModelVersion = NewType("ModelVersion", str)
 NodeId = NewType("NodeId", str)
-"""A process of ours, by the name in its settings."""
+"""A zinniaspool process, by the name in its settings."""
 
 RequestId = NewType("RequestId", str)
 ServiceName = NewType("ServiceName", str)
-"""What callers name in a path: a model or a plain service."""
+"""A model or a plain service, as callers name it in a path."""
 
 UpstreamId = NewType("UpstreamId", str)
-"""Where a request can be sent: a replica group or a plain service's VM."""
+"""A receiver of requests: a replica group or a plain service's VM."""
 
 VmId = NewType("VmId", str)
 
 Epoch = NewType("Epoch", int)
-"""Fencing number of a replica group: the store's revision of its plan."""
+"""Fencing token of a replica group: the store's revision of its plan."""
 
 Incarnation = NewType("Incarnation", int)
-"""Grows with each start of one node."""
+"""Number that increases with each start of a process."""
 
 PartName = NewType("PartName", str)
-"""Kind and key of a part, ``customer/care``."""
+"""Kind and key of a part of the configuration, such as ``customer/care``."""
 
 PartHash = NewType("PartHash", str)
-"""Hash of a part's content; its name in the store."""
+"""Hash of a part's content; also the part's name in the store."""
 
 Revision = NewType("Revision", int)
-"""The store's modification number of a key; 0 says that it is absent."""
+"""The store's modification number of a key; 0 stands for an absent key."""
 
 
 def split_address(address: Address) -> tuple[str, int]:
-    """Return an address's IP number and port as sockets take them."""
+    """Return the IP address and the port in the form that sockets expect."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/src/zinniaspool/core/journal.py
+++ b/src/zinniaspool/core/journal.py
@@ -1,4 +1,4 @@
-"""The decisions of a process that its operators may ask about."""
+"""The decisions of a process, kept so that operators can query them."""
 
 from collections import Counter, deque
 from dataclasses import dataclass, field
@@ -8,20 +8,21 @@
 
 __all__ = ["Decision", "DecisionKind", "Journal"]
 
-_KEPT_DECISIONS = 4096
-"""Decisions kept, some megabytes; hours of an ordinary day."""
-_KEPT_OF_REQUESTS = 4096
+_MAX_DECISIONS = 4096
+"""Number of decisions that are kept. They take several megabytes and cover
+hours of an ordinary day."""
+_MAX_REQUEST_DECISIONS = 4096
 """The same for decisions about single requests: minutes under load."""
 
 
 class DecisionKind(Enum):
-    """What was decided; the value is the name of the log event."""
+    """What was decided; the value is also the name of the log event."""
 
     CONFIGURATION_IN_FORCE = "configuration-in-force"
-    """A newer configuration is in force in this process."""
+    """A newer configuration is active in this process."""
 
     DOMAIN_HELD = "domain-held"
-    """This process took a fabric domain's lease."""
+    """This process acquired a fabric domain's lease."""
 
     DOMAIN_RELEASED = "domain-released"
     """This process no longer holds a fabric domain's lease."""
@@ -30,62 +31,64 @@
     """A plan with a new group was accepted."""
 
     GROUP_REPAIRED = "group-repaired"
-    """A group goes on with another VM or version, as a new group."""
+    """A group continues with another VM or version, as a new group."""
 
     GROUP_DRAINING = "group-draining"
-    """A group takes nothing new and finishes what runs."""
+    """A group accepts no new requests and finishes those that run."""
 
     GROUP_RELEASING = "group-releasing"
-    """A group has stopped and its VMs are emptied."""
+    """A group has stopped and its VMs are being emptied."""
 
     GROUP_DISSOLVED = "group-dissolved"
     """A plan without this group was accepted."""
 
     GROUP_WAITS = "group-waits"
-    """A group lacks a VM, and waiting for it costs the least."""
+    """A group lacks a VM, and waiting for that VM costs least."""
 
     GROUP_SERVES = "group-serves"
-    """Every VM of a group freshly reports it ready."""
+    """Every VM of a group has recently reported the group ready."""
 
     GROUP_STOPPED = "group-stopped"
-    """A VM of a group no longer reports it ready."""
+    """A VM of a group no longer reports the group ready."""
 
     VM_OUT = "vm-out"
-    """A VM may not join a group: absent, leaving or slow."""
+    """A VM may not join a group because it is absent, leaving or slow."""
 
     VM_BACK = "vm-back"
     """A VM may join groups again."""
 
     VM_IDLE = "vm-idle"
-    """A VM serves in no group, for this reason."""
+    """A VM serves in no group; the reason is given."""
 
     SHORTFALL = "shortfall"
-    """A model lacks something that the fleet has no room for."""
+    """The fleet lacks the capacity for something that a model needs."""
 
     ORDER_SENT = "order-sent"
-    """An engine was given an order."""
+    """An order was sent to an engine."""
 
     ATTEMPT_FAILED = "attempt-failed"
-    """One attempt upstream failed."""
+    """One attempt of a request at an upstream failed."""
 
     REQUEST_REFUSED = "request-refused"
     """A request or its key was refused; logged as request-failed."""
 
 
-_OF_REQUESTS = frozenset({DecisionKind.ATTEMPT_FAILED, DecisionKind.REQUEST_REFUSED})
+_REQUEST_KINDS = frozenset({DecisionKind.ATTEMPT_FAILED, DecisionKind.REQUEST_REFUSED})
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """One decision and why it was taken.
+    """One decision and the reason for it.
 
     Attributes:
         at: Seconds since the epoch, by the deciding VM's clock.
-        number: Orders one process's decisions of the same instant.
+        number: Increases with each decision of a process; orders decisions
+            of the same time.
         kind: What was decided.
-        subjects: What it is about: ``group:ID``, ``vm:ID``, ``request:ID``.
-        reason: For a person.
-        fields: Further facts, by name.
+        subjects: What the decision is about, such as ``group:ID``, ``vm:ID``
+            or ``request:ID``.
+        reason: The reason, for a person.
+        fields: Further details, by name.
     """
 
     at: float
@@ -97,23 +100,30 @@
 
 
 class Journal:
-    """Bounded rings of decisions and a count of each kind.
+    """Bounded buffers of decisions, and a count of each kind.
 
-    Decisions about single requests have a ring of their own: in an overload
-    or a loss they come by the thousand, and would push out what was decided
-    about VMs and configurations just when an operator asks for it.
+    Decisions about single requests have a buffer of their own: during an
+    overload, or when VMs fail, thousands of them are recorded, which would
+    push out the decisions about VMs and configurations just when operators
+    need them.
 
     Args:
-        kept: How many decisions stay.
-        kept_of_requests: How many of those about single requests.
+        max_decisions: Number of decisions that are kept.
+        max_request_decisions: Number of decisions about single requests that
+            are kept in addition.
+
+    Attributes:
+        counts: How many decisions of each kind have been recorded.
     """
 
     def __init__(
-        self, kept: int = _KEPT_DECISIONS, kept_of_requests: int = _KEPT_OF_REQUESTS
+        self,
+        max_decisions: int = _MAX_DECISIONS,
+        max_request_decisions: int = _MAX_REQUEST_DECISIONS,
     ) -> None:
         self.counts: Counter[DecisionKind] = Counter()
-        self._ring: deque[Decision] = deque(maxlen=kept)
-        self._of_requests: deque[Decision] = deque(maxlen=kept_of_requests)
+        self._decisions: deque[Decision] = deque(maxlen=max_decisions)
+        self._request_decisions: deque[Decision] = deque(maxlen=max_request_decisions)
         self._numbers = count(1)
 
     def record(
@@ -124,18 +134,26 @@
         reason: str,
         **fields: str,
     ) -> Decision:
-        """Keep one decision and return it."""
+        """Record a decision and return it."""
         decision = Decision(at, next(self._numbers), kind, subjects, reason, fields)
-        ring = self._of_requests if kind in _OF_REQUESTS else self._ring
+        ring = self._request_decisions if kind in _REQUEST_KINDS else self._decisions
         ring.append(decision)
         self.counts[kind] += 1
         return decision
 
     def find(self, subject: str) -> list[Decision]:
         """Return the kept decisions about a subject, oldest first."""
-        return [one for one in self.recent() if subject in one.subjects]
+        return [
+            decision
+            for decision in self.list_decisions()
+            if subject in decision.subjects
+        ]
 
-    def recent(self) -> list[Decision]:
+    def list_decisions(self) -> list[Decision]:
         """Return all kept decisions, oldest first."""
-        kept = merge(self._ring, self._of_requests, key=lambda one: one.number)
+        kept = merge(
+            self._decisions,
+            self._request_decisions,
+            key=lambda decision: decision.number,
+        )
         return list(kept)
--- a/src/zinniaspool/core/membership/gossip.py
+++ b/src/zinniaspool/core/membership/gossip.py
@@ -15,12 +15,12 @@
 from zinniaspool.core.membership.notices import Notice, Topic, measure_notices
 from zinniaspool.core.membership.roster import Roster
 from zinniaspool.core.messages.membership import (
-    Compare,
-    Compared,
-    Join,
+    CompareRequest,
+    CompareResponse,
     JoinPage,
-    Probe,
-    Probed,
+    JoinRequest,
+    ProbeRequest,
+    ProbeResponse,
     Push,
     WireNotice,
 )
@@ -48,7 +48,7 @@
 
     node: NodeId | None
     address: Address
-    message: Compare | Probe | Join
+    message: CompareRequest | ProbeRequest | JoinRequest
     asked_at: float
     about: NodeId | None = None
 
@@ -150,41 +150,44 @@
     def receive(
         self,
         sender: NodeId,
-        message: Push | Compare | Join,
+        message: Push | CompareRequest | JoinRequest,
         now: float,
-    ) -> Compared | JoinPage | None:
+    ) -> CompareResponse | JoinPage | None:
         """Take a peer's message and return the answer, if it has one."""
         self._notice_stall(now)
         self.roster.hear(sender, now)
         self.roster.take(message.notices, now)
         match message:
-            case Compare():
+            case CompareRequest():
                 return self._answer_compare(sender, message, now)
-            case Join():
+            case JoinRequest():
                 return self._answer_join(message, now)
             case Push():
                 return None
 
     def take_answer(
-        self, ask: Ask, answer: Compared | JoinPage | Probed | None, now: float
+        self,
+        ask: Ask,
+        answer: CompareResponse | JoinPage | ProbeResponse | None,
+        now: float,
     ) -> list[Action]:
         """Take what came of a question; None when no answer came."""
         stalled = self._notice_stall(now) or ask.asked_at < self._stalled_at
-        if isinstance(answer, Compared | JoinPage) and ask.node is not None:
+        if isinstance(answer, CompareResponse | JoinPage) and ask.node is not None:
             self.roster.hear(ask.node, now)
         match ask.message, answer:
-            case Compare(), Compared():
+            case CompareRequest(), CompareResponse():
                 self.roster.take(answer.notices, now)
                 return self._push_wanted(ask, answer, now)
-            case Join(), JoinPage():
+            case JoinRequest(), JoinPage():
                 return self._take_page(ask, answer, now)
-            case Join(), _:
+            case JoinRequest(), _:
                 self._join_after = None
                 return []
-            case Probe(), _:
-                alive = isinstance(answer, Probed) and answer.alive
+            case ProbeRequest(), _:
+                alive = isinstance(answer, ProbeResponse) and answer.alive
                 return self._take_probe(ask, alive=alive, now=now)
-            case Compare(), _ if ask.node is not None and not stalled:
+            case CompareRequest(), _ if ask.node is not None and not stalled:
                 return self._ask_helpers(ask.node, now)
         return []
 
@@ -207,19 +210,23 @@
             self._notices.take_exchanged(int(self._allowance), now)
         ) + self.roster.tell_of(member.node, now)
         known = tuple(self._notices.sample_known(self.limits.compared))
-        message = Compare(tuple(notices), known)
+        message = CompareRequest(tuple(notices), known)
         return Ask(member.node, member.peer_address, message, now)
 
-    def _answer_compare(self, sender: NodeId, message: Compare, now: float) -> Compared:
+    def _answer_compare(
+        self, sender: NodeId, message: CompareRequest, now: float
+    ) -> CompareResponse:
         newer = self._notices.find_newer(message.known, int(self._allowance), now)
         self._spend(newer)
         recent = self._notices.take_exchanged(int(self._allowance), now)
         self._spend(recent)
         told = self.roster.tell_of(sender, now)
         wanted = tuple(self._notices.find_older(message.known))
-        return Compared((*told, *newer, *recent), wanted)
+        return CompareResponse((*told, *newer, *recent), wanted)
 
-    def _push_wanted(self, ask: Ask, answer: Compared, now: float) -> list[Action]:
+    def _push_wanted(
+        self, ask: Ask, answer: CompareResponse, now: float
+    ) -> list[Action]:
         wanted = self._notices.find_newer(answer.wanted, int(self._allowance), now)
         if not wanted or ask.node is None:
             return []
@@ -266,7 +273,7 @@
         self._join_after = ""
         self._join_news = 0
         notices = () if own is None else (own,)
-        return [Ask(None, address, Join(notices, ""), now)]
+        return [Ask(None, address, JoinRequest(notices, ""), now)]
 
     def _choose_to_join(self) -> Address | None:
         addresses = [member.peer_address for member in self.roster.list_peers()]
@@ -279,7 +286,7 @@
             unmet = self._seeds
         return self._source.choice(unmet) if unmet else None
 
-    def _answer_join(self, message: Join, now: float) -> JoinPage:
+    def _answer_join(self, message: JoinRequest, now: float) -> JoinPage:
         page = self._notices.page(message.after, _PAGE_BYTES, now)
         last = f"{page[-1].topic}/{page[-1].key}" if page else ""
         more = bool(last) and bool(self._notices.page(last, 0, now))
@@ -290,7 +297,7 @@
         self._join_news += self.roster.take(page.notices, now, spread=False)
         if page.after:
             self._join_after = page.after
-            return [Ask(ask.node, ask.address, Join((), page.after), now)]
+            return [Ask(ask.node, ask.address, JoinRequest((), page.after), now)]
         self._join_after = None
         if not self.joined or self._rejoin_s:
             self._rejoin_s = 2 * self._rejoin_s or self.limits.round_s
@@ -311,7 +318,7 @@
             self.roster.accuse(node, Standing.SUSPECT, now)
             return []
         self._suspicions.doubt(node, len(helpers))
-        probe = Probe(node, member.peer_address)
+        probe = ProbeRequest(node, member.peer_address)
         return [Ask(h.node, h.peer_address, probe, now, node) for h in helpers]
 
     def _take_probe(self, ask: Ask, *, alive: bool, now: float) -> list[Action]:
--- a/src/zinniaspool/core/membership/notices.py
+++ b/src/zinniaspool/core/membership/notices.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from zinniaspool.core.messages.membership import Known, WireNotice
+from zinniaspool.core.messages.membership import KnownVersion, WireNotice
 
 __all__ = ["Notice", "NoticeTable", "Topic"]
 
@@ -201,7 +201,7 @@
         self._cool()
         return [entry.encode(now) for entry in chosen]
 
-    def sample_known(self, count: int) -> list[Known]:
+    def sample_known(self, count: int) -> list[KnownVersion]:
         """Return versions for a peer to compare with its own.
 
         Those of the configuration always, and a few others at random: the
@@ -212,12 +212,12 @@
         others = [n for n in self._entries if n.topic is not Topic.CONFIGURATION]
         drawn = self._source.sample(others, min(count, len(others)))
         return [
-            Known(name.topic.value, name.key, self._entries[name].version)
+            KnownVersion(name.topic.value, name.key, self._entries[name].version)
             for name in (*always, *drawn)
         ]
 
     def find_newer(
-        self, known: Iterable[Known], budget_bytes: int, now: float
+        self, known: Iterable[KnownVersion], budget_bytes: int, now: float
     ) -> list[WireNotice]:
         """Return what a peer knows only an older version of, or nothing."""
         newer = []
@@ -227,14 +227,14 @@
                 newer.append(entry)
         return [entry.encode(now) for entry in self._choose(budget_bytes, newer)]
 
-    def find_older(self, known: Iterable[Known]) -> list[Known]:
+    def find_older(self, known: Iterable[KnownVersion]) -> list[KnownVersion]:
         """Return what a peer knows a newer version of, as known here."""
         older = []
         for each in known:
             entry = self._find(each)
             version = -1 if entry is None else entry.version
             if each.version > version:
-                older.append(Known(each.topic, each.key, version))
+                older.append(KnownVersion(each.topic, each.key, version))
         return older
 
     def page(self, after: str, budget_bytes: int, now: float) -> list[WireNotice]:
@@ -251,7 +251,7 @@
             page.append(entry.encode(now))
         return page
 
-    def _find(self, known: Known) -> _Entry | None:
+    def _find(self, known: KnownVersion) -> _Entry | None:
         try:
             topic = Topic(known.topic)
         except ValueError:
--- a/src/zinniaspool/core/messages/__init__.py
+++ b/src/zinniaspool/core/messages/__init__.py
@@ -1,4 +1,4 @@
-"""What processes of ours say to each other."""
+"""The messages that zinniaspool processes exchange."""
 
 import msgspec
 
@@ -13,28 +13,28 @@
     RequestId,
 )
 from zinniaspool.core.messages.configuration import (
-    ConfigurationAnswer,
-    ConfigurationAsk,
+    ConfigurationRequest,
+    ConfigurationResponse,
 )
 from zinniaspool.core.messages.fleet import (
     ClearedContents,
-    CrashNote,
-    FleetNews,
+    CrashReport,
+    FleetUpdate,
     FleetWatch,
-    LoadNote,
-    SilentTarget,
-    StoreAsk,
-    StoreWord,
+    LoadReport,
+    StalledTarget,
+    StoreStatus,
+    StoreStatusRequest,
     UnreachableNode,
     UpstreamLimit,
 )
 from zinniaspool.core.messages.membership import (
-    Compare,
-    Compared,
-    Join,
+    CompareRequest,
+    CompareResponse,
     JoinPage,
-    Probe,
-    Probed,
+    JoinRequest,
+    ProbeRequest,
+    ProbeResponse,
     Push,
 )
 
@@ -42,30 +42,31 @@
     "OLDEST_PROTOCOL_VERSION",
     "PROTOCOL_VERSION",
     "Accepted",
-    "Forwarded",
+    "ForwardingMessage",
     "ForwardedAnswer",
     "ForwardedCall",
-    "Gossip",
+    "GossipMessage",
     "Hello",
     "Message",
     "Refused",
 ]
 
 PROTOCOL_VERSION = 1
-"""Newest version that this program speaks."""
+"""Newest protocol version that this program supports."""
 OLDEST_PROTOCOL_VERSION = 1
-"""Processes of two neighbouring versions run side by side in an upgrade."""
+"""Oldest protocol version that this program supports: during an upgrade,
+processes of two adjacent versions run side by side."""
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """First message of a connection: who is calling.
+    """First message of a connection: identifies the process that connects.
 
     Attributes:
-        protocol: The newest version that the caller speaks.
+        protocol: The newest protocol version that the process supports.
         node: Its name.
-        incarnation: Which of its starts.
-        failure_domain: Where it runs.
-        secret: Shows that it belongs to the fleet.
+        incarnation: Its incarnation.
+        failure_domain: Its failure domain.
+        secret: Proves that it belongs to the fleet.
     """
 
     protocol: int
@@ -76,29 +77,38 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """The answer to a hello that is accepted."""
+    """The answer to a hello that is accepted.
+
+    Attributes:
+        protocol: The protocol version that both sides use.
+        node: The name of the accepting process.
+    """
 
     protocol: int
     node: NodeId
 
 
 class Refused(msgspec.Struct, frozen=True, tag="refused"):
-    """The answer to a message that is not accepted."""
+    """The answer to a message that is not accepted.
+
+    Attributes:
+        reason: A keyword for the cause, such as ``secret`` or ``version``.
+    """
 
     reason: str
 
 
 class ForwardedCall(msgspec.Struct, frozen=True, tag="forwarded-call"):
-    """A caller's call that only the receiver may run.
+    """A caller's call that only the receiving process may run.
 
     Attributes:
-        id: The request's name; the same when it is sent again.
+        id: The request's id; the same when the call is sent again.
         reply_to: Where the answer is to be sent.
-        incarnation: The start of the receiver that may run it.
-        customer: Whose call it is, by the sender's check.
-        path: As the caller wrote it.
-        body: As the caller sent it.
-        timeout_s: What is left until the deadline.
+        incarnation: The incarnation of the receiver that may run the call.
+        customer: The customer, as authenticated by the sender.
+        path: The path as the caller sent it.
+        body: The body as the caller sent it.
+        timeout_s: Seconds left until the deadline.
         urgency: 0 is the most urgent.
         key: The idempotency key.
     """
@@ -118,13 +128,15 @@
     """How a forwarded call ended.
 
     Attributes:
-        id: The request's name.
-        owned: Whether the receiver may run it; if not, it has run nothing.
+        id: The request's id.
+        owned: Whether the receiver may run the call; if not, it has run
+            nothing.
         status: HTTP status of the answer; 0 for an error.
-        content_type: Of the answer.
-        body: Of the answer.
-        error: The error's kind; None for an answer.
-        retry_after: The error's seconds, where they differ from the table's.
+        content_type: Content type of the answer.
+        body: Body of the answer.
+        error: Kind of the error; None for an answer.
+        retry_after: Seconds to wait before a retry, if they differ from those
+            in the table of errors.
     """
 
     id: RequestId
@@ -136,23 +148,39 @@
     retry_after: float | None = None
 
 
-Gossip = Push | Compare | Compared | Join | JoinPage | Probe | Probed
+GossipMessage = (
+    Push
+    | CompareRequest
+    | CompareResponse
+    | JoinRequest
+    | JoinPage
+    | ProbeRequest
+    | ProbeResponse
+)
 
-Forwarded = ForwardedCall | ForwardedAnswer
+ForwardingMessage = ForwardedCall | ForwardedAnswer
 
-Configured = ConfigurationAsk | ConfigurationAnswer
+ConfigurationMessage = ConfigurationRequest | ConfigurationResponse
 
-Fleet = (
+FleetMessage = (
     FleetWatch
-    | FleetNews
-    | SilentTarget
-    | CrashNote
+    | FleetUpdate
+    | StalledTarget
+    | CrashReport
     | ClearedContents
     | UnreachableNode
     | UpstreamLimit
-    | LoadNote
-    | StoreAsk
-    | StoreWord
+    | LoadReport
+    | StoreStatusRequest
+    | StoreStatus
 )
 
-Message = Hello | Accepted | Refused | Gossip | Configured | Forwarded | Fleet
+Message = (
+    Hello
+    | Accepted
+    | Refused
+    | GossipMessage
+    | ConfigurationMessage
+    | ForwardingMessage
+    | FleetMessage
+)
--- a/src/zinniaspool/core/messages/configuration.py
+++ b/src/zinniaspool/core/messages/configuration.py
@@ -1,4 +1,4 @@
-"""What processes say to each other about the configuration."""
+"""The messages about the configuration."""
 
 import msgspec
 
@@ -6,8 +6,8 @@
 
 __all__ = [
     "Announcement",
-    "ConfigurationAnswer",
-    "ConfigurationAsk",
+    "ConfigurationResponse",
+    "ConfigurationRequest",
     "PartContent",
     "decode_announcement",
     "encode_announcement",
@@ -15,15 +15,15 @@
 
 
 class Announcement(msgspec.Struct, frozen=True, array_like=True):
-    """Says that a revision was accepted, and how it differs from its base.
+    """Announces an accepted revision and how it differs from its base.
 
     Attributes:
         revision: The accepted revision.
         digest: Hash of its parts' names and hashes.
         base: The revision that it replaced.
-        changed: The parts that differ from the base's; an empty hash for
-            one that was removed. Empty when they would take too much room:
-            they are then asked for.
+        changed: The parts that differ from the base's, with an empty hash
+            for a part that was removed. Empty if the parts would take too
+            much room; receivers then request them.
     """
 
     revision: Revision
@@ -32,13 +32,13 @@
     changed: dict[PartName, PartHash]
 
 
-class ConfigurationAsk(msgspec.Struct, frozen=True, tag="configuration-ask"):
-    """Asks what a peer holds.
+class ConfigurationRequest(msgspec.Struct, frozen=True, tag="configuration-ask"):
+    """Requests a peer's manifest or parts of the configuration.
 
     Attributes:
-        manifest_from: The names of a configuration's parts are wanted if
-            its revision is at least this; 0 when they are not wanted.
-        parts: The parts that are wanted.
+        manifest_from: The manifest is wanted if its revision is at least
+            this; 0 if it is not wanted.
+        parts: The hashes of the parts that are wanted.
     """
 
     manifest_from: Revision = Revision(0)
@@ -46,20 +46,20 @@
 
 
 class PartContent(msgspec.Struct, frozen=True, array_like=True):
-    """One part; its hash is checked by whoever gets it."""
+    """One part; the receiver checks its hash."""
 
     hash: PartHash
     content: str
 
 
-class ConfigurationAnswer(msgspec.Struct, frozen=True, tag="configuration-answer"):
-    """What the asked peer holds.
+class ConfigurationResponse(msgspec.Struct, frozen=True, tag="configuration-answer"):
+    """The answer to a configuration request.
 
     Attributes:
-        in_force: The revision in force there; 0 for none.
+        in_force: The revision that is active at the peer; 0 for none.
         manifest_revision: Revision of ``manifest``; 0 for none.
-        manifest: Each part's hash.
-        parts: Those of the wanted parts that fit in one message.
+        manifest: The hash of each part, by the part's name.
+        parts: Those of the wanted parts that fit into one message.
     """
 
     in_force: Revision
@@ -72,14 +72,14 @@
 
 
 def encode_announcement(announcement: Announcement) -> bytes:
-    """Return an announcement as a notice's payload."""
+    """Encode an announcement as the payload of a notice."""
     return msgspec.msgpack.encode(announcement)
 
 
 def decode_announcement(payload: bytes) -> Announcement:
-    """Return the announcement in a notice's payload.
+    """Decode the announcement in the payload of a notice.
 
     Raises:
-        msgspec.MsgspecError: It holds none.
+        msgspec.MsgspecError: The payload is not an announcement.
     """
     return _decoder.decode(payload)
--- a/src/zinniaspool/core/messages/fleet.py
+++ b/src/zinniaspool/core/messages/fleet.py
@@ -1,55 +1,55 @@
-"""What processes tell each other of the fleet."""
+"""The messages about the fleet's state."""
 
 import msgspec
 
-from zinniaspool.core.fleet.demands import ModelDemandNote
+from zinniaspool.core.fleet.demands import ModelDemandReport
 from zinniaspool.core.fleet.instances import InstanceId
 from zinniaspool.core.fleet.loads import TargetLoad
 from zinniaspool.core.ids import ContentId, NodeId, Revision
 
 __all__ = [
     "ClearedContents",
-    "CrashNote",
-    "FleetNews",
+    "CrashReport",
+    "FleetUpdate",
     "FleetWatch",
-    "LoadNote",
-    "NewsItem",
-    "SilentTarget",
-    "StoreAsk",
-    "StoreWord",
+    "LoadReport",
+    "FleetUpdateItem",
+    "StalledTarget",
+    "StoreStatusRequest",
+    "StoreStatus",
     "UnreachableNode",
     "UpstreamLimit",
 ]
 
 
 class FleetWatch(msgspec.Struct, frozen=True, tag="fleet-watch"):
-    """Asks a process for what its copy of the store has that ours lacks.
+    """Requests the changes of a process's copy of the store.
 
     Attributes:
-        source: Which start of the asked process told ``serial``; empty at
-            first.
-        serial: The last change that it told; 0 for none.
-        as_of: The store's revision up to which our copy is complete; 0 for
-            none, which asks for everything.
-        wait_s: Longest wait for a change.
-        demands: How much each model is asked for, at the asking process and
-            at all that follow it.
+        source: The start of the serving process that reported ``serial``;
+            empty in the first request.
+        serial: Number of the last change received from there; 0 for none.
+        as_of: The store's revision up to which the requesting process's copy
+            is complete; 0 for none, which requests all keys.
+        wait_s: Longest time in seconds to wait for a change.
+        demands: The demand for each model at the requesting process and at
+            all that follow it.
     """
 
     source: str
     serial: int
     as_of: Revision
     wait_s: float
-    demands: list[ModelDemandNote] = []
+    demands: list[ModelDemandReport] = []
 
 
-class NewsItem(msgspec.Struct, frozen=True):
-    """One key's state.
+class FleetUpdateItem(msgspec.Struct, frozen=True):
+    """The state of one key.
 
     Attributes:
-        key: Which.
-        value: None where the key is gone.
-        revision: Of its last write or of its removal.
+        key: The key.
+        value: Its value; None if the key has been removed.
+        revision: The store's revision of its last write or of its removal.
     """
 
     key: str
@@ -57,21 +57,26 @@
     revision: Revision
 
 
-class FleetNews(msgspec.Struct, frozen=True, tag="fleet-news"):
-    """The answer: changes, or the whole copy.
+class FleetUpdate(msgspec.Struct, frozen=True, tag="fleet-news"):
+    """The answer to a watch: the changes, or the whole copy.
 
     Attributes:
-        source: Which start of the answering process this is; empty where it
-            does not know what changed since our copy.
-        serial: Its last change.
-        whole: Whether this is its whole copy.
-        items: What changed, or all there is: packed items.
+        source: Identifies this start of the serving process; empty if the
+            process does not know what has changed since the requested
+            revision.
+        serial: Number of the last change of the serving process's copy.
+        whole: Whether this is the whole copy.
+        items: The changed items, or all items, packed.
         as_of: The store's revision up to which the copy is complete.
-        age_s: Seconds since the store, or who read it, last confirmed that.
-        leader: Which start of which process it last heard planning groups.
-        leader_age_s: Seconds since then.
-        provisional: Whether that one said that the store is down for all.
-        lost: Instances that it takes for lost though their entries live.
+        age_s: Seconds since the store, or a process that read it, last
+            confirmed the copy.
+        leader: The start of the holder from which the serving process last
+            received a heartbeat.
+        leader_age_s: Seconds since that heartbeat.
+        provisional: Whether the holder reported that the store is down for
+            all processes.
+        lost: Instances that are unreachable according to the holder, though
+            their records in the store have not expired.
     """
 
     source: str
@@ -86,40 +91,46 @@
     lost: frozenset[InstanceId] = frozenset()
 
 
-class StoreAsk(msgspec.Struct, frozen=True, tag="store-ask"):
-    """Asks whether a process reaches the store, and hears the holder."""
+class StoreStatusRequest(msgspec.Struct, frozen=True, tag="store-ask"):
+    """Queries whether a process reaches the store and the holder."""
 
 
-class StoreWord(msgspec.Struct, frozen=True, tag="store-word"):
-    """The answer.
+class StoreStatus(msgspec.Struct, frozen=True, tag="store-word"):
+    """The answer to a store status request.
 
     Attributes:
-        reachable: Whether the store answers it; None while it finds out.
-        holder_unheard_s: For how long it has not heard the holder.
+        reachable: Whether the store answers the process; None while that is
+            being checked.
+        holder_unheard_s: Seconds since the process's last heartbeat from the
+            holder.
     """
 
     reachable: bool | None
     holder_unheard_s: float
 
 
-class SilentTarget(msgspec.Struct, frozen=True, tag="silent-target"):
-    """Tells the holder, and those that share the target, of a silent head.
+class StalledTarget(msgspec.Struct, frozen=True, tag="silent-target"):
+    """Reports a stalled head to the holder and to processes that share it.
 
-    Requests and streams of the telling process stand still there.
+    Requests and streams of the reporting process make no progress there.
+
+    Attributes:
+        instance: The head.
+        node: The reporting process's VM.
     """
 
     instance: InstanceId
     node: NodeId
 
 
-class CrashNote(msgspec.Struct, frozen=True, tag="crash-note"):
-    """Tells all entry processes that an upstream crashed.
+class CrashReport(msgspec.Struct, frozen=True, tag="crash-note"):
+    """Reports to all entry processes that an upstream crashed.
 
     Attributes:
-        instance: Which.
-        born: Unix milliseconds of its start, where it told.
-        contents: What the telling process had there.
-        node: That process's VM.
+        instance: The upstream's instance.
+        born: Unix milliseconds of its start; None if it did not report that.
+        contents: The contents that the reporting process had sent there.
+        node: The reporting process's VM.
     """
 
     instance: InstanceId
@@ -129,11 +140,12 @@
 
 
 class ClearedContents(msgspec.Struct, frozen=True, tag="cleared-contents"):
-    """Tells all entry processes that contents crash no upstream.
+    """Reports to all entry processes that contents crash no upstream.
 
     Attributes:
-        contents: Which the telling process has had answered.
-        node: That process's VM.
+        contents: Contents that upstreams have answered for the reporting
+            process.
+        node: The reporting process's VM.
     """
 
     contents: list[ContentId]
@@ -141,24 +153,29 @@
 
 
 class UnreachableNode(msgspec.Struct, frozen=True, tag="unreachable-node"):
-    """Tells that an entry VM cannot be reached from another one.
+    """Reports that an entry VM cannot be reached from another entry VM.
+
+    Receivers probe the VM themselves: the reporting VM may be cut off.
 
-    Whoever hears it tries for itself: the teller may be cut off.
+    Attributes:
+        node: The VM that cannot be reached.
     """
 
     node: NodeId
 
 
 class UpstreamLimit(msgspec.Struct, frozen=True, tag="upstream-limit"):
-    """Tells those that share a target what it takes, or that it got one more.
+    """Reports a target's rate limit, or a request sent under that limit.
+
+    It is sent to the processes that share the target.
 
     Attributes:
-        instance: Which.
-        born: Unix milliseconds of its start, where it told.
-        per_s: Requests a second from all VMs; None where it names no limit any
-            more.
-        sent: Whether the telling process has sent one.
-        node: That process's VM.
+        instance: The target's instance.
+        born: Unix milliseconds of its start; None if it did not report that.
+        per_s: Requests per second that the target accepts from all VMs; None
+            if it no longer announces a limit.
+        sent: Whether the reporting process has sent a request there.
+        node: The reporting process's VM.
     """
 
     instance: InstanceId
@@ -168,13 +185,13 @@
     node: NodeId
 
 
-class LoadNote(msgspec.Struct, frozen=True, tag="load-note"):
-    """Tells another entry process how many requests this one has where.
+class LoadReport(msgspec.Struct, frozen=True, tag="load-note"):
+    """Reports an entry process's load at targets to another entry process.
 
     Attributes:
-        node: Which process.
-        loads: Its requests by target; 0 where it has none any more.
-        whole: Whether it has none at targets that are not named.
+        node: The reporting process's VM.
+        loads: Its load by target; 0 for a target where it has none any more.
+        whole: Whether it has no load at the targets that are not listed.
     """
 
     node: NodeId
--- a/src/zinniaspool/core/messages/membership.py
+++ b/src/zinniaspool/core/messages/membership.py
@@ -1,7 +1,7 @@
-"""What processes say to each other about members and notices.
+"""The messages about members and notices.
 
-Structs that travel as arrays may grow at their end, and fields that are not
-known are skipped, so that versions can run side by side during an upgrade.
+Structs that are encoded as arrays may get new fields at their end, and unknown
+fields are skipped, so that versions can run side by side during an upgrade.
 """
 
 import msgspec
@@ -9,28 +9,28 @@
 from zinniaspool.core.ids import Address, NodeId
 
 __all__ = [
-    "Compare",
-    "Compared",
-    "Join",
+    "CompareRequest",
+    "CompareResponse",
+    "JoinRequest",
     "JoinPage",
-    "Known",
-    "Probe",
-    "Probed",
+    "KnownVersion",
+    "ProbeRequest",
+    "ProbeResponse",
     "Push",
     "WireNotice",
 ]
 
 
 class WireNotice(msgspec.Struct, frozen=True, array_like=True):
-    """A notice on its way.
+    """A notice as it is sent to a peer.
 
     Attributes:
-        topic: Number of its topic; a receiver may not know it.
-        key: Whose value it is.
+        topic: Number of the notice's topic; a receiver may not know it.
+        key: The key within the topic.
         version: Orders the values of one key.
         payload: The value.
-        age_s: Seconds since it was published.
-        lifetime_s: Age at which it expires.
+        age_s: Seconds since the notice was published.
+        lifetime_s: Age in seconds at which the notice expires.
     """
 
     topic: int
@@ -41,8 +41,8 @@
     lifetime_s: float
 
 
-class Known(msgspec.Struct, frozen=True, array_like=True):
-    """Which version of a key the sender knows; -1 for none."""
+class KnownVersion(msgspec.Struct, frozen=True, array_like=True):
+    """The version of a key that the sender knows; -1 for none."""
 
     topic: int
     key: str
@@ -50,13 +50,13 @@
 
 
 class Push(msgspec.Struct, frozen=True, tag="push"):
-    """Notices for whoever does not know them yet; has no answer."""
+    """Notices that the receiver may not know yet; there is no answer."""
 
     notices: tuple[WireNotice, ...]
 
 
-class Compare(msgspec.Struct, frozen=True, tag="compare"):
-    """Asks whether the peer is alive and compares a few versions.
+class CompareRequest(msgspec.Struct, frozen=True, tag="compare"):
+    """Checks that the peer is alive, and compares a few versions with it.
 
     Attributes:
         notices: Recent notices.
@@ -64,40 +64,42 @@
     """
 
     notices: tuple[WireNotice, ...]
-    known: tuple[Known, ...]
+    known: tuple[KnownVersion, ...]
 
 
-class Compared(msgspec.Struct, frozen=True, tag="compared"):
+class CompareResponse(msgspec.Struct, frozen=True, tag="compared"):
     """The answer to a comparison.
 
     Attributes:
-        notices: Recent notices, and those newer than what was compared.
-        wanted: What the asking side knows better, to be pushed.
+        notices: Recent notices, and those that are newer than the compared
+            versions.
+        wanted: Keys of which the requesting side has a newer version, which
+            it is to push.
     """
 
     notices: tuple[WireNotice, ...]
-    wanted: tuple[Known, ...]
+    wanted: tuple[KnownVersion, ...]
 
 
-class Probe(msgspec.Struct, frozen=True, tag="probe"):
-    """Asks a third process to see whether a member answers."""
+class ProbeRequest(msgspec.Struct, frozen=True, tag="probe"):
+    """Asks a third process to check whether a member answers."""
 
     node: NodeId
     address: Address
 
 
-class Probed(msgspec.Struct, frozen=True, tag="probed"):
-    """Whether the member answered the third process."""
+class ProbeResponse(msgspec.Struct, frozen=True, tag="probed"):
+    """Reports whether the member answered the third process."""
 
     alive: bool
 
 
-class Join(msgspec.Struct, frozen=True, tag="join"):
-    """A new process asks for all notices, a page at a time.
+class JoinRequest(msgspec.Struct, frozen=True, tag="join"):
+    """A new process's request for all notices, a page at a time.
 
     Attributes:
-        notices: The new process's own.
-        after: Where the page begins; empty for the first.
+        notices: The new process's own notices.
+        after: Where the page begins; empty for the first page.
     """
 
     notices: tuple[WireNotice, ...]
@@ -108,8 +110,8 @@
     """One page of all notices.
 
     Attributes:
-        notices: The page.
-        after: What to ask for next; empty when this was the last.
+        notices: The notices of this page.
+        after: Where the next page begins; empty if this is the last one.
     """
 
     notices: tuple[WireNotice, ...]
--- a/src/zinniaspool/core/plans.py
+++ b/src/zinniaspool/core/plans.py
@@ -1,4 +1,4 @@
-"""Group plans, engine orders and engine reports: the groups' vocabulary."""
+"""Data types for group plans, engine orders and engine reports."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -22,40 +22,42 @@
     "GroupStage",
     "Order",
     "OrderKind",
-    "OutReason",
-    "OutVm",
+    "ExclusionReason",
+    "ExcludedVm",
     "VmListing",
     "VmListState",
 ]
 
 
 class GroupStage(Enum):
-    """What a plan wants of a group."""
+    """What a plan requires of a group."""
 
     SERVING = "serving"
-    """Load, then serve."""
+    """The group loads its model and then serves."""
 
     DRAINING = "draining"
-    """Take nothing new, finish what runs."""
+    """The group accepts no new requests and finishes those that run."""
 
     RELEASING = "releasing"
-    """Stopped; its VMs are emptied and read back before they are free."""
+    """The group has stopped. Its VMs are emptied, and are free once they have
+    reported that they are empty."""
 
 
 class DrainCause(Enum):
-    """Why a group is drained, and so what follows."""
+    """Why a group is drained, which also determines what happens next."""
 
     ROLLOUT = "rollout"
-    """Its VMs load the model's new version."""
+    """The group's VMs are to load the model's new version."""
 
     REPLACE = "replace"
-    """One of its VMs leaves or is slow; the others go on with a spare."""
+    """One of the group's VMs leaves or is slow; the others continue with a
+    spare VM."""
 
-    TAKEN = "taken"
-    """Its VMs are needed for another model's guarantee."""
+    REASSIGNED = "taken"
+    """The group's VMs are needed for another model's guarantee."""
 
     SURPLUS = "surplus"
-    """The configuration no longer asks for it."""
+    """The configuration no longer requires the group."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,16 +65,16 @@
     """One replica group of a plan.
 
     Attributes:
-        id: Never used again for another set of VMs.
-        model: What it loads.
-        version: Which version.
-        customers: Whose requests it runs, sorted.
-        vms: Its members; the first one takes the requests.
-        epoch: Fencing number; grows with every change of the group.
-        stage: What is wanted of it.
+        id: The group's id; never reused for another set of VMs.
+        model: The model that it loads.
+        version: The model's version.
+        customers: The customers whose requests it runs, sorted.
+        vms: Its members; the first is the head, which receives the requests.
+        epoch: Fencing token; increases with every change of the group.
+        stage: What the plan requires of it.
         cause: Why it is drained; None while it serves.
-        follows: The group of the same customers whose VMs it took over;
-            those VMs keep their weights.
+        follows: The earlier group of the same customers whose VMs it
+            continues with; those VMs keep their weights.
     """
 
     id: GroupId
@@ -86,7 +88,7 @@
     follows: GroupId | None = None
 
 
-class OutReason(Enum):
+class ExclusionReason(Enum):
     """Why a VM may not join a group."""
 
     ABSENT = "absent"
@@ -95,36 +97,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OutVm:
-    """A VM that the domain's holder found unfit for new groups."""
+class ExcludedVm:
+    """A VM that the domain's holder excludes from new groups."""
 
     vm: VmId
-    reason: OutReason
+    reason: ExclusionReason
 
 
 @dataclass(frozen=True, slots=True)
 class DomainPlan:
-    """All groups of one fabric domain: one value in the store, swapped whole.
+    """All groups of one fabric domain, stored as one value and swapped whole.
 
-    A VM stands in at most one group because the whole plan is checked before
-    one compare-and-swap replaces it. The VMs that are out stand in it as
-    well, so that every process works out the same share for every domain.
+    A VM is in at most one group because the whole plan is checked before one
+    compare-and-swap replaces it. The excluded VMs are part of the plan too, so
+    that every process computes the same share for every domain.
 
     Attributes:
-        fabric_domain: Which domain.
+        fabric_domain: The fabric domain.
         groups: Its groups, in the order in which they were formed.
-        epoch: Grows with every swap.
+        epoch: Increases with every swap.
         out: The VMs that may not join a group, sorted.
     """
 
     fabric_domain: FabricDomainId
     groups: tuple[GroupPlan, ...] = ()
     epoch: Epoch = Epoch(0)
-    out: tuple[OutVm, ...] = ()
+    out: tuple[ExcludedVm, ...] = ()
 
 
 class EngineState(Enum):
-    """What an engine says of itself."""
+    """The state that an engine reports of itself."""
 
     EMPTY = "empty"
     LOADING = "loading"
@@ -134,19 +136,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What one VM's engine reports.
+    """The report of one VM's engine.
 
     Attributes:
         vm: The reporting VM.
         boot: Changes with every start of the engine.
-        state: What it does.
-        group: Its group, or None when empty.
-        epoch: The epoch of the order it follows.
-        model: What it holds, or None when empty.
-        version: Which version.
+        state: The engine's state.
+        group: Its group, or None if it is empty.
+        epoch: The epoch of the order that it follows.
+        model: The model that it has loaded, or None if it is empty.
+        version: The model's version.
         running: Requests in progress.
         waiting: Requests queued.
-        tokens_per_s: Recent speed; a straggler's falls behind its group's.
+        tokens_per_s: Recent speed; that of a straggler is below its group's.
     """
 
     vm: VmId
@@ -162,17 +164,17 @@
 
 
 class OrderKind(Enum):
-    """What an engine can be told."""
+    """The kinds of orders to an engine."""
 
     LOAD = "load"
     DRAIN = "drain"
     UNLOAD = "unload"
-    """Empty weights, adapters and KV cache."""
+    """The engine drops the weights, the adapters and the KV cache."""
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An order to one VM's engine; the epoch is its fencing number."""
+    """An order to one VM's engine; its epoch is the fencing token."""
 
     kind: OrderKind
     vm: VmId
@@ -184,7 +186,7 @@
 
 
 class VmListState(Enum):
-    """What the platform's lagging list says of a VM."""
+    """The state of a VM in the platform's list, which lags behind."""
 
     LIVE = "live"
     LEAVING = "leaving"
--- a/src/zinniaspool/core/storage.py
+++ b/src/zinniaspool/core/storage.py
@@ -1,4 +1,4 @@
-"""What is asked of a key-value service, whichever client asks it."""
+"""The operations of a key-value store and their results, for all clients."""
 
 from enum import Enum
 from typing import NewType
@@ -11,7 +11,7 @@
 __all__ = [
     "KeyWrite",
     "LeaseNumber",
-    "Reading",
+    "RangeResult",
     "StoreCall",
     "StoreFault",
     "WatchResult",
@@ -21,26 +21,26 @@
 
 
 class StoreFault(Enum):
-    """Why a call to the store gave no answer of its own."""
+    """Why a call to the store failed."""
 
     CONFLICT = "conflict"
-    """The key was at another revision: nothing was written."""
+    """The key was at another revision; nothing was written."""
 
     LIMITED = "limited"
-    """The call limit is reached: nothing was done."""
+    """The limit of calls is reached; nothing was done."""
 
     UNAVAILABLE = "unavailable"
-    """The store refused or was not reached: nothing was done."""
+    """The store refused the call or was not reached; nothing was done."""
 
     UNKNOWN = "unknown"
-    """No answer came: a write may have taken effect."""
+    """No answer arrived; a write may have taken effect."""
 
     NO_LEASE = "no-lease"
-    """The lease has lapsed."""
+    """The lease has expired."""
 
 
 class StoreCall(Enum):
-    """The kinds of calls that are counted."""
+    """The kinds of calls, as they are counted."""
 
     GET = "get"
     RANGE = "range"
@@ -52,12 +52,12 @@
 
 
 class KeyWrite(msgspec.Struct, frozen=True):
-    """One key of a commit.
+    """One key to write in a commit.
 
     Attributes:
-        key: Which.
-        value: What to write.
-        lease: The lease that the key goes with; 0 for none.
+        key: The key.
+        value: The value to write.
+        lease: The lease with which the key expires; 0 for none.
     """
 
     key: str
@@ -65,15 +65,27 @@
     lease: LeaseNumber = LeaseNumber(0)
 
 
-class Reading(msgspec.Struct, frozen=True):
-    """All items below a prefix, none older than ``as_of``."""
+class RangeResult(msgspec.Struct, frozen=True):
+    """All items whose keys start with a prefix.
+
+    Attributes:
+        items: The items.
+        as_of: The store's revision that the items are at least as new as.
+    """
 
     items: list[StoredItem]
     as_of: Revision
 
 
 class WatchResult(msgspec.Struct, frozen=True):
-    """What a watch saw; ``complete`` is False where history was dropped."""
+    """The changes that a watch reports.
+
+    Attributes:
+        events: The changes.
+        as_of: The store's revision up to which they are reported.
+        complete: Whether all changes are included; False if the store has
+            dropped that part of its history.
+    """
 
     events: list[MirrorEvent]
     as_of: Revision
--- a/src/zinniaspool/entry/answers.py
+++ b/src/zinniaspool/entry/answers.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from zinniaspool.core.errors import ANSWERS, ErrorKind, Fault
+from zinniaspool.core.errors import ERROR_ANSWERS, ErrorKind, Fault
 from zinniaspool.core.ids import RequestId
 from zinniaspool.http import Exchange, Headers, Refusal, RefusalKind
 
@@ -28,7 +28,7 @@
 
 def make_answer(fault: Fault) -> Refusal:
     """Return the whole answer for one fault."""
-    answer = ANSWERS[fault.kind]
+    answer = ERROR_ANSWERS[fault.kind]
     retry_after = fault.retry_after or answer.retry_after
     headers = Headers.of(
         content_type="application/json", x_outcome=answer.outcome.value
--- a/src/zinniaspool/entry/callers.py
+++ b/src/zinniaspool/entry/callers.py
@@ -7,7 +7,7 @@
 import structlog
 from result import Err, Ok, Result
 
-from zinniaspool.core.errors import ANSWERS, ErrorKind, Fault, Outcome
+from zinniaspool.core.errors import ERROR_ANSWERS, ErrorKind, Fault, Outcome
 from zinniaspool.core.ids import CustomerId, RequestId
 from zinniaspool.core.requests import parse_timeout, parse_urgency
 from zinniaspool.entry.answers import answer_fault
@@ -100,7 +100,7 @@
         _log.info(
             "request-failed", kind=kind.value, request=request, customer=customer or ""
         )
-        refused = kind in _OF_KEYS or ANSWERS[kind].outcome is Outcome.NOT_RUN
+        refused = kind in _OF_KEYS or ERROR_ANSWERS[kind].outcome is Outcome.NOT_RUN
         if customer is not None and refused:
             self._note_refusal(request, customer, kind)
 
--- a/src/zinniaspool/entry/keyed.py
+++ b/src/zinniaspool/entry/keyed.py
@@ -6,7 +6,7 @@
 import structlog
 from result import Err
 
-from zinniaspool.core.errors import ANSWERS, ErrorKind, Fault, Outcome
+from zinniaspool.core.errors import ERROR_ANSWERS, ErrorKind, Fault, Outcome
 from zinniaspool.core.ids import IdempotencyKey
 from zinniaspool.core.requests.claims import Claim, ClaimOutcome
 from zinniaspool.core.requests.keys import (
@@ -215,7 +215,7 @@
 
 
 def _is_not_run(fault: Fault) -> bool:
-    return ANSWERS[fault.kind].outcome is Outcome.NOT_RUN
+    return ERROR_ANSWERS[fault.kind].outcome is Outcome.NOT_RUN
 
 
 def _shorten(ended: EndedCall) -> EndedCall:
--- a/src/zinniaspool/entry/main.py
+++ b/src/zinniaspool/entry/main.py
@@ -10,7 +10,7 @@
 import typer
 
 from zinniaspool.core.deployment import Configuration
-from zinniaspool.core.errors import ANSWERS, ErrorKind
+from zinniaspool.core.errors import ERROR_ANSWERS, ErrorKind
 from zinniaspool.core.ids import (
     Address,
     CustomerId,
@@ -206,7 +206,7 @@
             time.time(),
             DecisionKind.REQUEST_REFUSED,
             (f"request:{request}", f"customer:{customer}"),
-            ANSWERS[kind].message,
+            ERROR_ANSWERS[kind].message,
             error=kind.value,
             left_out_before=str(left_out),
         )
--- a/src/zinniaspool/fleet/belief.py
+++ b/src/zinniaspool/fleet/belief.py
@@ -12,15 +12,15 @@
     HOLDER_KEY,
     NODES_PREFIX,
     Catalog,
-    Change,
     EngineStatus,
     HolderRecord,
     Instance,
-    InstanceBook,
     InstanceId,
+    InstanceTable,
+    MirrorChange,
     NodeRecord,
     StoreMirror,
-    is_reborn,
+    has_restarted,
 )
 from zinniaspool.core.ids import ContentId, NodeId
 from zinniaspool.fleet.sight import boot_time
@@ -74,7 +74,7 @@
         self._reads_instances = reads_instances
         self.mirror = StoreMirror(self._lapses)
         self.catalog: Catalog | None = None
-        self.book = InstanceBook()
+        self.book = InstanceTable()
         self.nodes: dict[NodeId, NodeRecord] = {}
         self.holder: HolderRecord | None = None
         self.on_catalog: list[Callable[[], None]] = []
@@ -100,14 +100,14 @@
     def read_instances(self) -> None:
         """Decode all instances now, and from now on as they come."""
         self._reads_instances = True
-        for item in self.mirror.list_below(self._spelling.entries_prefix):
-            self._take_entry(Change(item.key, None, item))
+        for item in self.mirror.list_by_prefix(self._spelling.entries_prefix):
+            self._take_entry(MirrorChange(item.key, None, item))
 
     def ignore_instances(self) -> None:
         """Decode no instances from now on, and forget those that are known."""
         self._reads_instances = False
         for one in list(self.instances):
-            self.book.drop(one)
+            self.book.remove(one)
 
     def confirm(self, at: float) -> None:
         """Note that all that is believed was so at a time, in seconds."""
@@ -128,7 +128,7 @@
             return
         told = (status.membership, status.model, status.staged)
         same = told == (known.membership, known.model, known.staged)
-        if same and not is_reborn(known.born, status.born):
+        if same and not has_restarted(known.started_at_ms, status.born):
             return
         amended = self._spelling.amend_entry(item.value, status)
         if isinstance(amended, Err):
@@ -162,21 +162,21 @@
             back=",".join(sorted(self.lost - lost)),
         )
         self.lost = lost
-        self.mirror.touch()
-        self.book.set_lost(lost)
+        self.mirror.bump_serial()
+        self.book.set_unreachable(lost)
         for listener in (*self.on_instances, *self.on_change):
             listener()
 
     def is_over(self, instance: InstanceId, born: int | None) -> bool:
         """Tell whether the life of an instance that began then has ended."""
         known = self.instances.get(instance)
-        return known is None or is_reborn(born, known.born)
+        return known is None or has_restarted(born, known.started_at_ms)
 
     def age(self, now: float) -> float:
         """Return for how many seconds nothing has confirmed the belief."""
         return now - self._confirmed
 
-    def take(self, changes: list[Change]) -> None:
+    def take(self, changes: list[MirrorChange]) -> None:
         """Take changes of the copy and tell who listens."""
         listeners: set[int] = set()
         held = set(self.held)
@@ -218,7 +218,7 @@
         for listener in self.on_held:
             listener(held - before, before - held)
 
-    def _take_rules(self, change: Change) -> None:
+    def _take_rules(self, change: MirrorChange) -> None:
         if change.after is None:
             return
         read = self._spelling.read_rules(change.after.value)
@@ -241,7 +241,7 @@
             revision=change.after.revision,
         )
 
-    def _take_entry(self, change: Change) -> None:
+    def _take_entry(self, change: MirrorChange) -> None:
         instance = InstanceId(change.key.removeprefix(self._spelling.entries_prefix))
         if change.after is None:
             self._refused.pop(instance, None)
@@ -252,11 +252,11 @@
             self._refuse_entry(instance, change.key, read.err_value)
             return
         found = read.ok_value
-        if self._is_outdated(instance, found.born):
+        if self._is_outdated(instance, found.started_at_ms):
             self._refuse_entry(instance, change.key, "of an earlier life", keep=True)
             return
         self._refused.pop(instance, None)
-        self._note_birth(instance, found.born)
+        self._note_birth(instance, found.started_at_ms)
         before = self.instances.get(instance)
         self.book.put(found)
         if before is not None and before.state is not found.state:
@@ -277,7 +277,7 @@
             self._drop(instance)
 
     def _drop(self, instance: InstanceId) -> None:
-        if self.book.drop(instance) is not None:
+        if self.book.remove(instance) is not None:
             _log.info("instance-gone", instance=instance)
 
     def _is_outdated(self, instance: InstanceId, born: int | None) -> bool:
@@ -294,12 +294,12 @@
             return
         before = self._births.pop(instance, None)
         self._births[instance] = born
-        if is_reborn(before, born):
+        if has_restarted(before, born):
             _log.info("instance-reborn", instance=instance, born=born)
         if len(self._births) > MOST_BIRTHS:
             del self._births[next(iter(self._births))]
 
-    def _take_node(self, change: Change) -> None:
+    def _take_node(self, change: MirrorChange) -> None:
         node = NodeId(change.key.removeprefix(NODES_PREFIX))
         if change.after is None:
             self.nodes.pop(node, None)
@@ -311,7 +311,7 @@
     def _lapses(self, key: str) -> bool:
         return key.startswith((self._spelling.entries_prefix, NODES_PREFIX))
 
-    def _take_holder(self, change: Change) -> None:
+    def _take_holder(self, change: MirrorChange) -> None:
         value = None if change.after is None else change.after.value
         self.holder = None if value is None else _decode(value, HolderRecord)
         node = None if self.holder is None else self.holder.node
--- a/src/zinniaspool/fleet/follower.py
+++ b/src/zinniaspool/fleet/follower.py
@@ -14,13 +14,13 @@
     FANOUT,
     HolderRecord,
     MirrorEvent,
-    ModelDemandNote,
+    ModelDemandReport,
     NodeState,
     StoredItem,
     choose_relays,
 )
 from zinniaspool.core.ids import Address, FailureDomainId, NodeId, Revision
-from zinniaspool.core.messages.fleet import FleetNews, FleetWatch
+from zinniaspool.core.messages.fleet import FleetUpdate, FleetWatch
 from zinniaspool.core.storage import StoreFault
 from zinniaspool.fleet.belief import FleetBelief
 from zinniaspool.fleet.mesh import FleetMesh, unpack_items
@@ -172,7 +172,7 @@
         sight: HolderSight,
         is_holder: Callable[[], bool],
         list_seeds: Callable[[], list[Address]],
-        list_demands: Callable[[], list[ModelDemandNote]],
+        list_demands: Callable[[], list[ModelDemandReport]],
         place: Place,
         own_control: Address | None = None,
     ) -> None:
@@ -199,7 +199,7 @@
         while True:
             self._belief.expire_lost(self._now())
             if await self._follow_peers():
-                self._belief.take(self._belief.mirror.expire(self._now()))
+                self._belief.take(self._belief.mirror.apply_due_removals(self._now()))
                 continue
             done = await self._follow_store()
             if not isinstance(done, Err):
@@ -236,7 +236,7 @@
         While one is waited for in vain, a change may be missed, and the store
         tells it at once; so a second peer is not tried before the store is.
         """
-        if self._is_holder() or not self._belief.mirror.known:
+        if self._is_holder() or not self._belief.mirror.is_loaded:
             return False
         now = self._now()
         for address in self._list_leads():
@@ -292,7 +292,7 @@
             fresh_s += OWN_HOP_S
         return fresh_s
 
-    def _accepts(self, news: FleetNews) -> bool:
+    def _accepts(self, news: FleetUpdate) -> bool:
         """Tell whether a peer's news are to be followed.
 
         While the store is down for all, the holder's copy is as old as any,
@@ -305,7 +305,7 @@
         if led and news.provisional and news.leader_age_s <= self._fresh_s:
             return True
         # A process that knows nothing serves nobody: an old copy is better.
-        return news.age_s <= self._fresh_s or not self._belief.mirror.known
+        return news.age_s <= self._fresh_s or not self._belief.mirror.is_loaded
 
     # From peers.
 
@@ -351,7 +351,7 @@
             await asyncio.sleep(RELAY_GATHER_S)
         return True
 
-    def _shun(self, address: Address, news: FleetNews | None) -> None:
+    def _shun(self, address: Address, news: FleetUpdate | None) -> None:
         if address not in self._shunned:
             _log.info(
                 "peer-stale",
@@ -366,7 +366,9 @@
         if holder is not None and address == holder.peer_address:
             self._sight.note_unanswered(holder)
 
-    async def _close_gap(self, address: Address, news: FleetNews) -> FleetNews | None:
+    async def _close_gap(
+        self, address: Address, news: FleetUpdate
+    ) -> FleetUpdate | None:
         """Learn what a peer cannot tell: changes before it knew the store.
 
         The store tells it in one call; where it does not answer, the peer's
@@ -383,7 +385,7 @@
             return None
         return await self._mesh.ask(address, FleetWatch("", 0, Revision(0), 0.0))
 
-    def _take_news(self, news: FleetNews) -> None:
+    def _take_news(self, news: FleetUpdate) -> None:
         mirror, now = self._belief.mirror, self._now()
         told = unpack_items(news.items)
         if news.whole:
@@ -464,7 +466,7 @@
         now = self._now()
         mirror = self._belief.mirror
         if isinstance(done, Err):
-            mirror.disturb(now)
+            mirror.mark_outage(now)
             if self.reachable:
                 _log.warning("store-lost", fault=done.err_value.value)
             self.reachable = False
@@ -477,7 +479,7 @@
         self._pause_s = RETRY_S
         if self._read:
             self._belief.confirm_by_store(now)
-        self._belief.take(mirror.expire(now))
+        self._belief.take(mirror.apply_due_removals(now))
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/src/zinniaspool/fleet/mesh.py
+++ b/src/zinniaspool/fleet/mesh.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from zinniaspool.core.fleet import DemandSums, ModelDemandNote, StoredItem
+from zinniaspool.core.fleet import DemandTotals, ModelDemandReport, StoredItem
 from zinniaspool.core.ids import (
     Address,
     FailureDomainId,
@@ -25,11 +25,11 @@
 )
 from zinniaspool.core.messages import PROTOCOL_VERSION, Hello, Message
 from zinniaspool.core.messages.fleet import (
-    FleetNews,
+    FleetUpdate,
+    FleetUpdateItem,
     FleetWatch,
-    NewsItem,
-    StoreAsk,
-    StoreWord,
+    StoreStatus,
+    StoreStatusRequest,
 )
 from zinniaspool.fleet.belief import FleetBelief
 from zinniaspool.fleet.sight import HolderSight, boot_time
@@ -102,7 +102,7 @@
         self._sight = sight
         self._probe_store = probe_store
         self._find_own_lead = find_own_lead
-        self._demands = DemandSums()
+        self._demands = DemandTotals()
         self._packed: tuple[object, bytes] | None = None
         self._probing: asyncio.Task[None] | None = None
         self._probed_at = float("-inf")
@@ -126,29 +126,29 @@
         self._asking.close()
         self._telling.close()
 
-    async def ask(self, address: Address, watch: FleetWatch) -> FleetNews | None:
+    async def ask(self, address: Address, watch: FleetWatch) -> FleetUpdate | None:
         """Ask a process for news; None where no answer came."""
         answer = await self._asking.ask(address, watch)
-        return answer if isinstance(answer, FleetNews) else None
+        return answer if isinstance(answer, FleetUpdate) else None
 
-    def sum_demands(self) -> list[ModelDemandNote]:
+    def sum_demands(self) -> list[ModelDemandReport]:
         """Return how much the models are asked for at all that follow this."""
-        return self._demands.add_up(asyncio.get_running_loop().time())
+        return self._demands.sum_by_model(asyncio.get_running_loop().time())
 
     async def ask_store(self, address: Address) -> bool | None:
         """Ask whether a process reaches the store; None where unknown.
 
         One that has ended reaches nothing: its VM refuses connections there.
         """
-        word = await self._asking.ask(address, StoreAsk())
-        if isinstance(word, StoreWord):
+        word = await self._asking.ask(address, StoreStatusRequest())
+        if isinstance(word, StoreStatus):
             return word.reachable
         return False if await is_nobody_there(address) else None
 
     async def ask_holder(self, address: Address) -> float | None:
         """Ask for how long a process has not heard the holder."""
-        word = await self._asking.ask(address, StoreAsk())
-        return word.holder_unheard_s if isinstance(word, StoreWord) else None
+        word = await self._asking.ask(address, StoreStatusRequest())
+        return word.holder_unheard_s if isinstance(word, StoreStatus) else None
 
     def tell(self, addresses: Collection[Address], message: Message) -> None:
         """Send a note that has no answer; one that cannot leave is lost."""
@@ -164,13 +164,13 @@
     async def _take(self, hello: Hello, message: Message) -> Message | None:
         if isinstance(message, FleetWatch):
             now = asyncio.get_running_loop().time()
-            self._demands.take(hello.node, message.demands, now)
+            self._demands.update(hello.node, message.demands, now)
             return await self._answer(message)
-        if isinstance(message, StoreAsk):
+        if isinstance(message, StoreStatusRequest):
             return await self._tell_store()
         return await self._handler(hello, message)
 
-    async def _tell_store(self) -> StoreWord:
+    async def _tell_store(self) -> StoreStatus:
         now = boot_time()
         if now - self._belief.confirmed_at_boot < FRESH_WORD_S:
             self._reachable, self._probed_at = True, now
@@ -181,7 +181,7 @@
         fresh = boot_time() - self._probed_at <= FRESH_WORD_S
         holder = self._belief.holder
         unheard_s = NEVER_S if holder is None else self._sight.unheard_s(holder)
-        return StoreWord(self._reachable if fresh else None, unheard_s)
+        return StoreStatus(self._reachable if fresh else None, unheard_s)
 
     async def _probe(self) -> None:
         try:
@@ -190,7 +190,7 @@
         finally:
             self._probing = None
 
-    async def _answer(self, watch: FleetWatch) -> FleetNews:
+    async def _answer(self, watch: FleetWatch) -> FleetUpdate:
         mirror = self._belief.mirror
         known = watch.source == self._source and watch.serial > 0
         if known and mirror.serial == watch.serial:
@@ -198,22 +198,22 @@
         source, whole = self._source, False
         since: object = (known, watch.serial if known else watch.as_of)
         if known:
-            changed = mirror.list_since(watch.serial)
+            changed = mirror.list_since_serial(watch.serial)
         elif not watch.as_of:
-            changed, whole = mirror.list_since(0), True
-        elif mirror.since and mirror.since <= watch.as_of:
+            changed, whole = mirror.list_since_serial(0), True
+        elif mirror.history_start and mirror.history_start <= watch.as_of:
             # All that a process already has need not go over the link again:
             # when a new holder is followed, all ask at the same moment.
-            changed = mirror.list_newer(watch.as_of)
+            changed = mirror.list_since_revision(watch.as_of)
         else:
             changed, source = [], ""
         lead = self._describe_lead()
-        return FleetNews(
+        return FleetUpdate(
             source,
             mirror.serial if source else 0,
             whole,
             self._pack(since, changed),
-            mirror.believed_as_of,
+            mirror.confirmed_as_of,
             self._belief.age(asyncio.get_running_loop().time()),
             lead.start,
             lead.age_s,
@@ -260,7 +260,7 @@
 def pack_items(changed: list[tuple[str, StoredItem | None, Revision]]) -> bytes:
     """Return items as they go over the wire."""
     items = [
-        NewsItem(key, None if item is None else item.value, revision)
+        FleetUpdateItem(key, None if item is None else item.value, revision)
         for key, item, revision in changed
     ]
     if not items:
@@ -268,7 +268,7 @@
     return zlib.compress(msgspec.msgpack.encode(items), PACK_LEVEL)
 
 
-def unpack_items(packed: bytes) -> list[NewsItem]:
+def unpack_items(packed: bytes) -> list[FleetUpdateItem]:
     """Return the items that were packed.
 
     Raises:
@@ -281,7 +281,7 @@
     data = unpacker.decompress(packed, MOST_UNPACKED_BYTES)
     if not unpacker.eof:
         raise zlib.error("too large")
-    return msgspec.msgpack.decode(data, type=list[NewsItem])
+    return msgspec.msgpack.decode(data, type=list[FleetUpdateItem])
 
 
 async def is_nobody_there(address: Address) -> bool:
--- a/src/zinniaspool/fleet/store.py
+++ b/src/zinniaspool/fleet/store.py
@@ -11,7 +11,7 @@
 from zinniaspool.core.storage import (
     KeyWrite,
     LeaseNumber,
-    Reading,
+    RangeResult,
     StoreCall,
     StoreFault,
     WatchResult,
@@ -41,7 +41,7 @@
         """Tell whether the store answers at all."""
         ...
 
-    async def read(self, prefix: str) -> Result[Reading, StoreFault]:
+    async def read(self, prefix: str) -> Result[RangeResult, StoreFault]:
         """Return all items below a prefix."""
         ...
 
--- a/src/zinniaspool/gateway/crashes.py
+++ b/src/zinniaspool/gateway/crashes.py
@@ -7,10 +7,10 @@
 import structlog
 
 from zinniaspool.core.dispatch import Quarantine, QuarantineStatus, TargetState
-from zinniaspool.core.fleet import InstanceLife, TryOutcome
+from zinniaspool.core.fleet import InstanceIncarnation, ProbeOutcome
 from zinniaspool.core.ids import Address, ContentId, NodeId
 from zinniaspool.core.messages import Message
-from zinniaspool.core.messages.fleet import ClearedContents, CrashNote, SilentTarget
+from zinniaspool.core.messages.fleet import ClearedContents, CrashReport, StalledTarget
 from zinniaspool.gateway.calls import GatewayCall
 from zinniaspool.gateway.moves import Moves
 from zinniaspool.gateway.probes import try_address
@@ -71,9 +71,11 @@
         self._index = index
         self._tell_all = tell_all
         self._tell_holder = tell_holder
-        self._suspects: defaultdict[InstanceLife, set[ContentId]] = defaultdict(set)
-        self._checks: dict[InstanceLife, asyncio.Task[None]] = {}
-        self._ended: dict[InstanceLife, float] = {}
+        self._suspects: defaultdict[InstanceIncarnation, set[ContentId]] = defaultdict(
+            set
+        )
+        self._checks: dict[InstanceIncarnation, asyncio.Task[None]] = {}
+        self._ended: dict[InstanceIncarnation, float] = {}
 
     def is_held(self, call: GatewayCall) -> bool:
         """Tell whether a request is to be sent to no upstream."""
@@ -81,7 +83,7 @@
 
     async def take_lost(self, call: GatewayCall, state: TargetState) -> None:
         """Take that an attempt was lost; wait where that may decide."""
-        life = InstanceLife(state.target.instance, state.target.started_at_ms)
+        life = InstanceIncarnation(state.target.instance, state.target.started_at_ms)
         if call.sent_at > self._ended.get(life, float("inf")):
             # It was sent where nobody was any more.
             return
@@ -92,7 +94,7 @@
 
     def take_unsent(self, state: TargetState) -> None:
         """Take that no connection to an upstream came about."""
-        life = InstanceLife(state.target.instance, state.target.started_at_ms)
+        life = InstanceIncarnation(state.target.instance, state.target.started_at_ms)
         if life not in self._ended:
             self._start_check(life, state)
 
@@ -101,9 +103,9 @@
         if self.quarantine.record_answer(call.content, self._now()):
             self._clear([call.content])
 
-    def hear_crash(self, note: CrashNote) -> None:
+    def hear_crash(self, note: CrashReport) -> None:
         """Take that another process saw an upstream crash."""
-        life = InstanceLife(note.instance, note.born)
+        life = InstanceIncarnation(note.instance, note.born)
         self._note_ended(life)
         self._count(life, note.contents, seen_here=False)
 
@@ -128,7 +130,7 @@
                 self._note_held(content)
 
     def _start_check(
-        self, life: InstanceLife, state: TargetState
+        self, life: InstanceIncarnation, state: TargetState
     ) -> "asyncio.Task[None]":
         check = self._checks.get(life)
         if check is None:
@@ -136,19 +138,19 @@
             self._checks[life] = check
         return check
 
-    async def _check(self, life: InstanceLife, address: Address) -> None:
-        outcome = TryOutcome.SILENT
+    async def _check(self, life: InstanceIncarnation, address: Address) -> None:
+        outcome = ProbeOutcome.NO_ANSWER
         for _ in range(MOST_TRIES):
-            if outcome is TryOutcome.SILENT:
+            if outcome is ProbeOutcome.NO_ANSWER:
                 outcome = await try_address(address)
         del self._checks[life]
         contents = sorted(self._suspects.pop(life, ()))
-        if outcome is not TryOutcome.REFUSED:
+        if outcome is not ProbeOutcome.REFUSED:
             return
         self.crashes += 1
         self._note_ended(life)
         # The holder would learn of it seconds later, when its entry lapses.
-        self._tell_holder(SilentTarget(life.instance, self._node))
+        self._tell_holder(StalledTarget(life.instance, self._node))
         _log.warning(
             "upstream-crashed",
             instance=life.instance,
@@ -156,21 +158,27 @@
         )
         if not contents:
             return
-        self._tell_all(CrashNote(life.instance, life.born, contents, self._node))
+        self._tell_all(
+            CrashReport(life.instance, life.started_at_ms, contents, self._node)
+        )
         self._count(life, contents, seen_here=True)
 
-    def _note_ended(self, life: InstanceLife) -> None:
+    def _note_ended(self, life: InstanceIncarnation) -> None:
         """Send nothing to an upstream that has ended."""
         now = self._now()
         self._ended.setdefault(life, now)
         if len(self._ended) > MOST_ENDED:
             del self._ended[next(iter(self._ended))]
         state = self._index.find_state(life.instance)
-        if state is not None and state.target.started_at_ms == life.born:
+        if state is not None and state.target.started_at_ms == life.started_at_ms:
             state.backoff_until = max(state.backoff_until, now + ENDED_REST_S)
 
     def _count(
-        self, life: InstanceLife, contents: Iterable[ContentId], *, seen_here: bool
+        self,
+        life: InstanceIncarnation,
+        contents: Iterable[ContentId],
+        *,
+        seen_here: bool,
     ) -> None:
         now = self._now()
         for content in contents:
--- a/src/zinniaspool/gateway/directory.py
+++ b/src/zinniaspool/gateway/directory.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from zinniaspool.core.fleet import NodeRecord, NodeState, Reachability
+from zinniaspool.core.fleet import NodeRecord, NodeState, ReachabilityTracker
 from zinniaspool.fleet import FleetBelief
 from zinniaspool.http import Exchange, Headers
 
@@ -35,7 +35,7 @@
         belief: FleetBelief,
         find_own: Callable[[], NodeRecord | None],
         lifetime_s: float,
-        reachability: Reachability,
+        reachability: ReachabilityTracker,
     ) -> None:
         self._reachability = reachability
         self._belief = belief
--- a/src/zinniaspool/gateway/face.py
+++ b/src/zinniaspool/gateway/face.py
@@ -16,7 +16,7 @@
     RetryWindow,
     identify_content,
 )
-from zinniaspool.core.errors import ANSWERS, ErrorKind, Fault
+from zinniaspool.core.errors import ERROR_ANSWERS, ErrorKind, Fault
 from zinniaspool.core.fleet import Catalog, CustomerSpec, RouteSpec
 from zinniaspool.core.ids import ContentId, ServiceName
 from zinniaspool.fleet import FleetBelief
@@ -248,7 +248,7 @@
     async def _refuse(
         self, exchange: Exchange, terms: RequestTerms, fault: Fault
     ) -> None:
-        answer = ANSWERS[fault.kind]
+        answer = ERROR_ANSWERS[fault.kind]
         headers = Headers.of(content_type="text/plain")
         self._spelling.name_fault(headers, terms.id, fault.kind.value)
         retry_after = fault.retry_after or answer.retry_after
@@ -272,7 +272,7 @@
 def refuse_request(kind: RefusalKind, detail: str) -> Refusal:
     """Return the answer to what breaks the server's limits or HTTP."""
     fault = _REFUSED[kind]
-    answer = ANSWERS[fault]
+    answer = ERROR_ANSWERS[fault]
     headers = Headers.of(content_type="text/plain", x_error_kind=fault.value)
     if answer.retry_after is not None:
         headers.add("retry-after", str(answer.retry_after))
@@ -283,7 +283,7 @@
     catalog: Catalog, route: RouteSpec, key: str | None
 ) -> Result[CustomerSpec | None, Fault]:
     customer = None if key is None else catalog.customers.get(key)
-    if customer is None and catalog.asks_keys and not route.anonymous:
+    if customer is None and catalog.requires_keys and not route.allows_anonymous:
         return Err(Fault(ErrorKind.BAD_CREDENTIAL))
     return Ok(customer)
 
--- a/src/zinniaspool/gateway/gate.py
+++ b/src/zinniaspool/gateway/gate.py
@@ -126,7 +126,7 @@
             NOBODY if customer is None else customer.name,
             min(priority, MOST_URGENT_LATE - 1),
             call.received + route.objective_s - waited_s - LAST_MILE_S,
-            call.received + route.silence_s,
+            call.received + route.caller_timeout_s,
             call.terms.prompt_tokens,
         )
 
--- a/src/zinniaspool/gateway/limits.py
+++ b/src/zinniaspool/gateway/limits.py
@@ -6,7 +6,7 @@
 import structlog
 
 from zinniaspool.core.dispatch import AnnouncedRate, TargetState
-from zinniaspool.core.fleet import InstanceLife
+from zinniaspool.core.fleet import InstanceIncarnation
 from zinniaspool.core.ids import NodeId
 from zinniaspool.core.messages.fleet import UpstreamLimit
 from zinniaspool.gateway.targets import TargetIndex
@@ -54,7 +54,7 @@
         """
         if per_s is None and not ran:
             return
-        life = InstanceLife(state.target.instance, state.target.started_at_ms)
+        life = InstanceIncarnation(state.target.instance, state.target.started_at_ms)
         if self._set(life, per_s, self._node):
             self._tell(life, per_s, sent=False)
 
@@ -63,12 +63,12 @@
         if state.announced_rate is None:
             return
         state.announced_rate.record_request(state.subset_part, self._now())
-        life = InstanceLife(state.target.instance, state.target.started_at_ms)
+        life = InstanceIncarnation(state.target.instance, state.target.started_at_ms)
         self._tell(life, state.announced_rate.per_s, sent=True)
 
     def hear(self, note: UpstreamLimit) -> None:
         """Take what another process was told, or has sent."""
-        life = InstanceLife(note.instance, note.born)
+        life = InstanceIncarnation(note.instance, note.born)
         self._set(life, note.per_s, note.node)
         rate = self._index.rates.get(life)
         if note.sent and rate is not None:
@@ -77,11 +77,15 @@
                 1.0 if state is None else state.subset_part, self._now()
             )
 
-    def _tell(self, life: InstanceLife, per_s: float | None, *, sent: bool) -> None:
-        note = UpstreamLimit(life.instance, life.born, per_s, sent, self._node)
+    def _tell(
+        self, life: InstanceIncarnation, per_s: float | None, *, sent: bool
+    ) -> None:
+        note = UpstreamLimit(life.instance, life.started_at_ms, per_s, sent, self._node)
         self._tell_peers(note)
 
-    def _set(self, life: InstanceLife, per_s: float | None, told_by: NodeId) -> bool:
+    def _set(
+        self, life: InstanceIncarnation, per_s: float | None, told_by: NodeId
+    ) -> bool:
         """Take an upstream's limit; False where it was known."""
         rates = self._index.rates
         known = rates.get(life)
--- a/src/zinniaspool/gateway/main.py
+++ b/src/zinniaspool/gateway/main.py
@@ -17,18 +17,18 @@
 )
 from zinniaspool.core.fleet import (
     NODES_PREFIX,
-    ModelDemandNote,
+    ModelDemandReport,
     NodeRecord,
     NodeState,
-    Reachability,
+    ReachabilityTracker,
 )
 from zinniaspool.core.ids import Address, NodeId
 from zinniaspool.core.messages import Hello, Message
 from zinniaspool.core.messages.fleet import (
     ClearedContents,
-    CrashNote,
-    LoadNote,
-    SilentTarget,
+    CrashReport,
+    LoadReport,
+    StalledTarget,
     UnreachableNode,
     UpstreamLimit,
 )
@@ -212,7 +212,7 @@
             self._gate.tally,
             self._crashes,
         )
-        self._reachability = Reachability(random.Random())
+        self._reachability = ReachabilityTracker(random.Random())
         self._directory = DirectoryFace(
             self._belief, self._find_own, node.address_lifetime_s, self._reachability
         )
@@ -290,15 +290,15 @@
     async def _take_message(self, hello: Hello, message: Message) -> Message | None:
         if isinstance(message, UnreachableNode):
             self._reachability.suspect(message.node)
-        elif isinstance(message, SilentTarget):
+        elif isinstance(message, StalledTarget):
             self._silence.hear(message)
-        elif isinstance(message, CrashNote):
+        elif isinstance(message, CrashReport):
             self._crashes.hear_crash(message)
         elif isinstance(message, ClearedContents):
             self._crashes.hear_cleared(message)
         elif isinstance(message, UpstreamLimit):
             self._limits.hear(message)
-        elif isinstance(message, LoadNote):
+        elif isinstance(message, LoadReport):
             self._index.take_loads(message, asyncio.get_running_loop().time())
         return None
 
@@ -324,7 +324,7 @@
         if holder is not None:
             self._mesh.tell([holder.peer_address], note)
 
-    def _list_demands(self) -> list[ModelDemandNote]:
+    def _list_demands(self) -> list[ModelDemandReport]:
         return self._index.list_demands(self._gate.measure_demand)
 
     async def _tell_loads(self) -> None:
@@ -341,7 +341,7 @@
                 changes, whole_at = self._index.list_loads(), now + WHOLE_LOADS_S
             if not changes and not whole:
                 continue
-            note = LoadNote(self._node.node, changes, whole)
+            note = LoadReport(self._node.node, changes, whole)
             self._tell(self._subset.other_members, note)
 
     @property
@@ -374,8 +374,8 @@
         self._configured.set()
         limits = catalog.limits
         self._server.limits = ServerLimits(
-            header_bytes=limits.header_bytes,
-            body_bytes=limits.body_bytes,
+            header_bytes=limits.max_header_bytes,
+            body_bytes=limits.max_body_bytes,
             receive_s=limits.header_timeout_s,
             idle_s=limits.idle_timeout_s * 1.25,
         )
--- a/src/zinniaspool/gateway/probes.py
+++ b/src/zinniaspool/gateway/probes.py
@@ -5,7 +5,7 @@
 
 import structlog
 
-from zinniaspool.core.fleet import NodeRecord, Reachability, TryOutcome
+from zinniaspool.core.fleet import NodeRecord, ProbeOutcome, ReachabilityTracker
 from zinniaspool.core.ids import Address, NodeId, split_address
 from zinniaspool.fleet import FleetBelief
 
@@ -35,7 +35,7 @@
         self,
         belief: FleetBelief,
         own: NodeId,
-        reachability: Reachability,
+        reachability: ReachabilityTracker,
         on_lost: Callable[[NodeId], None],
     ) -> None:
         self._belief = belief
@@ -47,26 +47,26 @@
         """Try others until cancelled."""
         while True:
             others = [name for name in self._belief.nodes if name != self._own]
-            chosen = self._reachability.choose(others)
+            chosen = self._reachability.choose_probes(others)
             records = [self._belief.nodes[name] for name in chosen]
             await asyncio.gather(asyncio.sleep(PROBE_S), *map(self._try, records))
 
     async def _try(self, record: NodeRecord) -> None:
         outcome = await try_address(record.caller_address)
-        if self._reachability.note(record.node, outcome):
+        if self._reachability.record_outcome(record.node, outcome):
             _log.warning("node-unreachable", peer=record.node, outcome=outcome.value)
             self._on_lost(record.node)
 
 
-async def try_address(address: Address) -> TryOutcome:
+async def try_address(address: Address) -> ProbeOutcome:
     """Connect as a caller would, and close again."""
     host, port = split_address(address)
     try:
         async with asyncio.timeout(CONNECT_S):
             _, writer = await asyncio.open_connection(host, port)
     except ConnectionRefusedError:
-        return TryOutcome.REFUSED
+        return ProbeOutcome.REFUSED
     except (OSError, TimeoutError):
-        return TryOutcome.SILENT
+        return ProbeOutcome.NO_ANSWER
     writer.close()
-    return TryOutcome.REACHED
+    return ProbeOutcome.REACHED
--- a/src/zinniaspool/gateway/records.py
+++ b/src/zinniaspool/gateway/records.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from zinniaspool.core.dispatch import HOLD_S
-from zinniaspool.core.fleet import HELD_PREFIX, HeldRecord, InstanceId
+from zinniaspool.core.fleet import HELD_PREFIX, InstanceId, QuarantineRecord
 from zinniaspool.core.ids import ContentId, NodeId, Revision
 from zinniaspool.core.storage import KeyWrite, StoreFault
 from zinniaspool.fleet import FleetBelief, FleetStore
@@ -93,7 +93,7 @@
         if isinstance(granted, Err):
             return
         key = HELD_PREFIX + content
-        record = HeldRecord(self._node, self._list_crashed(content))
+        record = QuarantineRecord(self._node, self._list_crashed(content))
         write = KeyWrite(key, msgspec.json.encode(record), granted.ok_value)
         written = await self._store.commit([(key, Revision(0))], [write])
         if not isinstance(written, Err) or written.err_value is StoreFault.CONFLICT:
--- a/src/zinniaspool/gateway/silence.py
+++ b/src/zinniaspool/gateway/silence.py
@@ -14,7 +14,7 @@
     suspect,
 )
 from zinniaspool.core.ids import NodeId
-from zinniaspool.core.messages.fleet import SilentTarget
+from zinniaspool.core.messages.fleet import StalledTarget
 from zinniaspool.gateway.moves import Moves
 from zinniaspool.gateway.targets import TargetIndex
 
@@ -47,8 +47,8 @@
         node: NodeId,
         index: TargetIndex,
         moves: Moves,
-        tell_holder: Callable[[SilentTarget], None],
-        tell_peers: Callable[[SilentTarget], None],
+        tell_holder: Callable[[StalledTarget], None],
+        tell_peers: Callable[[StalledTarget], None],
     ) -> None:
         self._node = node
         self._index = index
@@ -95,7 +95,7 @@
         # where all targets are full, they would be read twice for nothing.
         self._moves.move_from(state, only_to_room=not state.streaming)
 
-    def hear(self, note: SilentTarget) -> None:
+    def hear(self, note: StalledTarget) -> None:
         """Take that another process found a target silent."""
         now = asyncio.get_running_loop().time()
         state = self._index.find_state(note.instance)
@@ -126,7 +126,7 @@
         )
         if state.target.group is None:
             return
-        note = SilentTarget(state.target.instance, self._node)
+        note = StalledTarget(state.target.instance, self._node)
         self._tell_holder(note)
         if state.streaming and self._hears_others(state, now):
             self._tell_peers(note)
--- a/src/zinniaspool/gateway/targets.py
+++ b/src/zinniaspool/gateway/targets.py
@@ -19,18 +19,18 @@
 )
 from zinniaspool.core.fleet import (
     Catalog,
+    CompleteGroup,
     Instance,
     InstanceId,
-    InstanceLife,
-    InstancePart,
+    InstanceIncarnation,
+    InstancePartition,
     InstanceState,
-    ModelDemandNote,
+    ModelDemandReport,
     TargetLoad,
-    WholeGroup,
-    find_whole_groups,
+    find_complete_groups,
 )
 from zinniaspool.core.ids import FailureDomainId, ModelName, ServiceName
-from zinniaspool.core.messages.fleet import LoadNote
+from zinniaspool.core.messages.fleet import LoadReport
 from zinniaspool.fleet import FleetBelief
 
 __all__ = ["TargetIndex"]
@@ -64,14 +64,14 @@
         self._belief = belief
         self._own_domain = own_domain
         self._source = random.Random()
-        self.rates: dict[InstanceLife, AnnouncedRate] = {}
+        self.rates: dict[InstanceIncarnation, AnnouncedRate] = {}
         self._pools: dict[_PoolKey, TargetPool] = {}
         self._subset: Subset | None = None
         self._everybody = 1
         self._peers = PeerLoads()
         self._changes = LoadChangeTracker()
         self._catalog: Catalog | None = None
-        self._parts: dict[InstancePart, _PartTargets] = {}
+        self._parts: dict[InstancePartition, _PartTargets] = {}
 
     def find(self, service: ServiceName, model: ModelName | None) -> TargetPool:
         """Return the pool of a service's model, empty if unknown."""
@@ -122,10 +122,10 @@
 
     def list_demands(
         self, measure: Callable[[TargetPool], float]
-    ) -> list[ModelDemandNote]:
+    ) -> list[ModelDemandReport]:
         """Return how many slots would take what is asked of each model."""
         return [
-            ModelDemandNote(service, model, round(measure(pool), 2))
+            ModelDemandReport(service, model, round(measure(pool), 2))
             for (service, model), pool in self._pools.items()
             if model is not None
         ]
@@ -145,7 +145,7 @@
             for state in self.list_busy()
         }
 
-    def take_loads(self, note: LoadNote, now: float) -> None:
+    def take_loads(self, note: LoadReport, now: float) -> None:
         """Take what another process has at targets."""
         self._set_peers(
             self._peers.apply_report(note.node, note.loads, now, complete=note.whole)
@@ -210,13 +210,13 @@
         book = self._belief.book
         fresh = not self._parts
         touched: set[_PoolKey] = set(self._pools) if fresh else set()
-        for part in book.list_parts():
+        for part in book.list_partitions():
             version = book.get_version(part)
             known = self._parts.get(part)
             if known is not None and known.version == version:
                 continue
             before = {} if known is None else known.targets
-            targets = _find_targets(part, book.list_part(part), catalog)
+            targets = _find_targets(part, book.list_reachable(part), catalog)
             self._parts[part] = _PartTargets(version, targets)
             touched |= {
                 key
@@ -227,7 +227,7 @@
 
 
 def _find_targets(
-    part: InstancePart, instances: Iterable[Instance], catalog: Catalog
+    part: InstancePartition, instances: Iterable[Instance], catalog: Catalog
 ) -> dict[_PoolKey, list[Target]]:
     """Return the targets of one part by the pools that they are for."""
     spec = catalog.services.get(part.service)
@@ -238,7 +238,7 @@
         return {(part.service, None): [_make_plain(one) for one in instances]}
     sizes = {model.name: model.size for model in spec.engine.models}
     found: defaultdict[_PoolKey, list[Target]] = defaultdict(list)
-    for group in find_whole_groups(instances, sizes):
+    for group in find_complete_groups(instances, sizes):
         found[part.service, group.model].append(_make_group(group, spec.engine.slots))
     return dict(found)
 
@@ -249,12 +249,12 @@
         one.address,
         one.failure_domain,
         max(1, one.slots),
-        started_at_ms=one.born,
+        started_at_ms=one.started_at_ms,
         draining=one.state is InstanceState.LEAVING,
     )
 
 
-def _make_group(group: WholeGroup, slots: int) -> Target:
+def _make_group(group: CompleteGroup, slots: int) -> Target:
     head = group.head
     return Target(
         head.id,
@@ -264,7 +264,7 @@
         group.model,
         group.group,
         group.epoch,
-        head.born,
-        group.ending,
+        head.started_at_ms,
+        group.is_draining,
         head.fabric_domain,
     )
--- a/src/zinniaspool/keeper/holder.py
+++ b/src/zinniaspool/keeper/holder.py
@@ -8,7 +8,7 @@
 import structlog
 from result import Ok
 
-from zinniaspool.core.fleet import InstanceId, ModelDemandNote
+from zinniaspool.core.fleet import InstanceId, ModelDemandReport
 from zinniaspool.core.formation import (
     DomainPlan,
     FormationPlanner,
@@ -100,7 +100,7 @@
         election: HolderElection,
         plans: PlanBook,
         engines: Engines,
-        list_demands: Callable[[], list[ModelDemandNote]],
+        list_demands: Callable[[], list[ModelDemandReport]],
         load_window_s: float,
         free_until: float,
     ) -> None:
--- a/src/zinniaspool/keeper/main.py
+++ b/src/zinniaspool/keeper/main.py
@@ -8,7 +8,7 @@
 
 from zinniaspool.core.ids import Address
 from zinniaspool.core.messages import Hello, Message
-from zinniaspool.core.messages.fleet import SilentTarget
+from zinniaspool.core.messages.fleet import StalledTarget
 from zinniaspool.fleet import (
     FleetBelief,
     FleetFollower,
@@ -169,6 +169,6 @@
         return [one for one in [*known, *self._node.seeds] if one != self._address]
 
     async def _take_message(self, hello: Hello, message: Message) -> Message | None:
-        if isinstance(message, SilentTarget):
+        if isinstance(message, StalledTarget):
             self._holder.suspect(message.instance, message.node)
         return None
--- a/src/zinniaspool/keeper/plans.py
+++ b/src/zinniaspool/keeper/plans.py
@@ -30,7 +30,7 @@
         """Return the plans that are in the store."""
         plans = []
         self._revisions.clear()
-        for item in mirror.list_below(PLANS_PREFIX):
+        for item in mirror.list_by_prefix(PLANS_PREFIX):
             domain = FabricDomainId(item.key.removeprefix(PLANS_PREFIX))
             self._revisions[domain] = item.revision
             try:
--- a/src/zinniaspool/node/board.py
+++ b/src/zinniaspool/node/board.py
@@ -22,12 +22,12 @@
 )
 from zinniaspool.core.messages import Hello, Message
 from zinniaspool.core.messages.membership import (
-    Compare,
-    Compared,
-    Join,
+    CompareRequest,
+    CompareResponse,
     JoinPage,
-    Probe,
-    Probed,
+    JoinRequest,
+    ProbeRequest,
+    ProbeResponse,
     Push,
 )
 from zinniaspool.peers import PeerLinks
@@ -120,11 +120,11 @@
     async def handle(self, hello: Hello, message: Message) -> Message | None:
         """Take a peer's message and return the answer, if it has one."""
         match message:
-            case Probe():
-                asked = Compare((), ())
+            case ProbeRequest():
+                asked = CompareRequest((), ())
                 answer = await self._links.ask(message.address, asked, message.node)
-                return Probed(isinstance(answer, Compared))
-            case Push() | Compare() | Join():
+                return ProbeResponse(isinstance(answer, CompareResponse))
+            case Push() | CompareRequest() | JoinRequest():
                 now = time.monotonic()
                 reply = self._machine.receive(hello.node, message, now)
                 self._hand_on()
@@ -147,7 +147,11 @@
             await self._links.send(action.address, action.message, action.node)
             return
         reply = await self._links.ask(action.address, action.message, action.node)
-        answer = reply if isinstance(reply, Compared | JoinPage | Probed) else None
+        answer = (
+            reply
+            if isinstance(reply, CompareResponse | JoinPage | ProbeResponse)
+            else None
+        )
         for following in self._machine.take_answer(action, answer, time.monotonic()):
             self._start(following)
         self._hand_on()
--- a/src/zinniaspool/node/follower.py
+++ b/src/zinniaspool/node/follower.py
@@ -27,8 +27,8 @@
 from zinniaspool.core.ids import Address, NodeId, Revision
 from zinniaspool.core.membership import Notice, Topic
 from zinniaspool.core.messages.configuration import (
-    ConfigurationAnswer,
-    ConfigurationAsk,
+    ConfigurationRequest,
+    ConfigurationResponse,
     decode_announcement,
     encode_announcement,
 )
@@ -124,7 +124,7 @@
             for call in self._calls:
                 call.cancel()
 
-    def answer(self, ask: ConfigurationAsk) -> ConfigurationAnswer:
+    def answer(self, ask: ConfigurationRequest) -> ConfigurationResponse:
         """Return what a peer asks for, as far as it is held here."""
         return self._machine.holding.answer(ask)
 
@@ -206,7 +206,7 @@
 
     async def _ask_peer(self, action: AskPeer) -> None:
         reply = await self._links.ask(action.address, action.message, action.node)
-        answer = reply if isinstance(reply, ConfigurationAnswer) else None
+        answer = reply if isinstance(reply, ConfigurationResponse) else None
         self._start(self._machine.take_peer(action, answer, self._now))
 
     def _fail(self, fault: StoreFault) -> None:
--- a/src/zinniaspool/node/frame.py
+++ b/src/zinniaspool/node/frame.py
@@ -25,8 +25,8 @@
     MemberState,
     Role,
 )
-from zinniaspool.core.messages import PROTOCOL_VERSION, Gossip, Hello, Message
-from zinniaspool.core.messages.configuration import ConfigurationAsk
+from zinniaspool.core.messages import PROTOCOL_VERSION, GossipMessage, Hello, Message
+from zinniaspool.core.messages.configuration import ConfigurationRequest
 from zinniaspool.http import HttpClient, HttpServer
 from zinniaspool.node.access import Access
 from zinniaspool.node.board import Board
@@ -179,9 +179,9 @@
         self.http.close()
 
     async def _handle(self, hello: Hello, message: Message) -> Message | None:
-        if isinstance(message, Gossip):
+        if isinstance(message, GossipMessage):
             return await self.board.handle(hello, message)
-        if isinstance(message, ConfigurationAsk):
+        if isinstance(message, ConfigurationRequest):
             return self.follower.answer(message) if self.follower else None
         if self._handler is None:
             return None
--- a/src/zinniaspool/node/lag.py
+++ b/src/zinniaspool/node/lag.py
@@ -7,8 +7,8 @@
 from zinniaspool.core.ids import NodeId, Revision
 from zinniaspool.core.membership import Member, MemberState
 from zinniaspool.core.messages.configuration import (
-    ConfigurationAnswer,
-    ConfigurationAsk,
+    ConfigurationRequest,
+    ConfigurationResponse,
 )
 from zinniaspool.node.board import Board
 from zinniaspool.peers import PeerLinks
@@ -42,9 +42,9 @@
             return MemberRevision(member.node, member.state, None)
         async with gate:
             reply = await links.ask(
-                member.peer_address, ConfigurationAsk(), member.node
+                member.peer_address, ConfigurationRequest(), member.node
             )
-        held = reply.in_force if isinstance(reply, ConfigurationAnswer) else None
+        held = reply.in_force if isinstance(reply, ConfigurationResponse) else None
         return MemberRevision(member.node, member.state, held)
 
     return list(await asyncio.gather(*map(ask, board.members())))
--- a/src/zinniaspool/node/operators.py
+++ b/src/zinniaspool/node/operators.py
@@ -142,7 +142,7 @@
                 state[name] = section.make_for(customer)
         state["decisions"] = [
             decision
-            for decision in self._journal.recent()
+            for decision in self._journal.list_decisions()
             if _may_see(decision, customer)
         ]
         return msgspec.json.encode({"version": DUMP_VERSION, "state": state})
--- a/src/zinniaspool/platform/kvstore.py
+++ b/src/zinniaspool/platform/kvstore.py
@@ -16,7 +16,7 @@
 from zinniaspool.core.storage import (
     KeyWrite,
     LeaseNumber,
-    Reading,
+    RangeResult,
     StoreCall,
     StoreFault,
     WatchResult,
@@ -103,7 +103,7 @@
         """Tell whether the store answers at all."""
         return not isinstance(await self.get(HOLDER_KEY), Err)
 
-    async def read(self, prefix: str) -> Result[Reading, StoreFault]:
+    async def read(self, prefix: str) -> Result[RangeResult, StoreFault]:
         """Return all items below a prefix, from as many pages as it takes.
 
         The pages are no snapshot. What changed between them is told by a
@@ -130,7 +130,7 @@
                     return item
                 items.append(item.ok_value)
             if not found.truncated or not found.items:
-                return Ok(Reading(items, Revision(as_of)))
+                return Ok(RangeResult(items, Revision(as_of)))
             after = found.items[-1].key
 
     async def watch(
--- a/src/zinniaspool/platform/rules.py
+++ b/src/zinniaspool/platform/rules.py
@@ -144,7 +144,7 @@
                 limits.header_timeout_ms / 1000,
                 limits.idle_timeout_ms / 1000,
             ),
-            asks_keys=config.tenants is not None,
+            requires_keys=config.tenants is not None,
         )
     )
 
--- a/tests/formation_world.py
+++ b/tests/formation_world.py
@@ -60,15 +60,15 @@
         ModelSpec(LARGE, 4, 0.6, 1.0, 16.0, 1.6),
         ModelSpec(SMALL, 2, 0.4, 0.6, 12.0, 1.1),
     ),
-    stride=6,
+    steps_per_pass=6,
     step_s=0.00645,
     step_per_request_s=0.0002,
     prefill_tokens_per_s=56_000.0,
-    chunk=2048,
+    prefill_chunk_tokens=2048,
     loads_per_s=5.5,
-    loads_at_once=8,
+    full_speed_loads=8,
     form_s=0.3,
-    staged_kept=1,
+    max_staged_models=1,
 )
 
 
@@ -332,7 +332,7 @@
         if engine.model == order.model:
             ready_after_s = 0.2
         elif order.model in engine.staged:
-            ready_after_s = model.warm_s
+            ready_after_s = model.warm_load_s
         if order.model not in engine.staged:
             # The host drops its staged models before it has the new one.
             engine.staged = ()
--- a/tests/gossip_net.py
+++ b/tests/gossip_net.py
@@ -20,11 +20,11 @@
     Tell,
 )
 from zinniaspool.core.messages.membership import (
-    Compare,
-    Compared,
+    CompareRequest,
+    CompareResponse,
     JoinPage,
-    Probe,
-    Probed,
+    ProbeRequest,
+    ProbeResponse,
 )
 
 __all__ = ["GossipNet"]
@@ -175,14 +175,14 @@
         self, node: NodeId, machine: GossipMachine, target: NodeId, ask: Ask
     ) -> None:
         asked = self.machines.get(target)
-        answer: Probed | Compared | JoinPage | None = None
+        answer: ProbeResponse | CompareResponse | JoinPage | None = None
         if asked is not None and target not in self.frozen:
-            if isinstance(ask.message, Probe):
+            if isinstance(ask.message, ProbeRequest):
                 probed = self._find(target, ask.message.address, ask.message.node)
                 alive = probed is not None and probed not in self.frozen
                 back = probed is not None and self.reaches(probed, target)
-                answer = Probed(alive and back)
-                self._count(target, Compare((), ()))
+                answer = ProbeResponse(alive and back)
+                self._count(target, CompareRequest((), ()))
             else:
                 answer = asked.receive(node, ask.message, self.now)
                 self.settle(target)
--- a/tests/test_announced_limits.py
+++ b/tests/test_announced_limits.py
@@ -10,7 +10,7 @@
 
 from tests.installation import Answer, Installation, run
 from zinniaspool.core.dispatch import AnnouncedRate, Target, TargetPool
-from zinniaspool.core.fleet import InstanceId, InstanceLife
+from zinniaspool.core.fleet import InstanceId, InstanceIncarnation
 from zinniaspool.core.ids import Address, FailureDomainId, GroupId
 from zinniaspool.http import Headers
 from zinniaspool.platform.wire import read_limit
@@ -92,7 +92,7 @@
 def test_a_limit_outlasts_the_group_of_its_upstream() -> None:
     """Guards against a newly formed group whose head gets a burst."""
     head = Target(InstanceId("i"), Address("10.0.0.1:1"), FailureDomainId("a"), 8)
-    rates = {InstanceLife(head.instance, None): AnnouncedRate(1.0, 0.0)}
+    rates = {InstanceIncarnation(head.instance, None): AnnouncedRate(1.0, 0.0)}
     pool = TargetPool(FailureDomainId("a"), random.Random(1), rates)
     for group in ("g1", "g2"):
         pool.update([replace(head, group=GroupId(group))], 0.0)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -3,7 +3,7 @@
 from hypothesis import example, given, strategies as st
 from result import Err
 
-from zinniaspool.core.errors import ANSWERS, ErrorKind, Outcome
+from zinniaspool.core.errors import ERROR_ANSWERS, ErrorKind, Outcome
 from zinniaspool.core.requests import (
     AttemptFailure,
     Attempts,
@@ -63,7 +63,7 @@
 
 
 def _check(kind: ErrorKind, may_have_run: bool) -> None:
-    if ANSWERS[kind].outcome is Outcome.NOT_RUN:
+    if ERROR_ANSWERS[kind].outcome is Outcome.NOT_RUN:
         assert not may_have_run
 
 
--- a/tests/test_belief.py
+++ b/tests/test_belief.py
@@ -4,7 +4,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from zinniaspool.core.fleet import Change, EngineStatus, InstanceId, MirrorEvent
+from zinniaspool.core.fleet import EngineStatus, InstanceId, MirrorChange, MirrorEvent
 from zinniaspool.core.ids import ModelName, Revision
 from zinniaspool.fleet import FleetBelief
 from zinniaspool.platform.spelling import PlatformSpelling
@@ -34,7 +34,7 @@
         self.belief = FleetBelief(PlatformSpelling())
         self.revision = 0
 
-    def write(self, instance: InstanceId, value: bytes | None) -> list[Change]:
+    def write(self, instance: InstanceId, value: bytes | None) -> list[MirrorChange]:
         self.revision += 1
         revision = Revision(self.revision)
         event = MirrorEvent(f"servers/{instance}", value, revision)
@@ -76,7 +76,7 @@
     status = EngineStatus(None, None, (), 0, 0, 1.0, born=2000)
     told.belief.amend(ONE, status)
     known = told.belief.instances[ONE]
-    assert (known.membership, known.model, known.born) == (None, None, 2000)
+    assert (known.membership, known.model, known.started_at_ms) == (None, None, 2000)
 
 
 def test_what_an_earlier_life_wrote_is_not_believed_after_a_later_one() -> None:
--- a/tests/test_configuration_following.py
+++ b/tests/test_configuration_following.py
@@ -27,8 +27,8 @@
 from zinniaspool.core.ids import NodeId, Revision
 from zinniaspool.core.messages.configuration import (
     Announcement,
-    ConfigurationAnswer,
-    ConfigurationAsk,
+    ConfigurationRequest,
+    ConfigurationResponse,
     PartContent,
 )
 
@@ -366,9 +366,9 @@
     holding = _hold(1)
     assert holding.in_force is not None
     parts = tuple(holding.in_force.parts.values())
-    answer = holding.answer(ConfigurationAsk(Revision(1), (*parts, PartHash("x"))))
+    answer = holding.answer(ConfigurationRequest(Revision(1), (*parts, PartHash("x"))))
     assert {part.hash for part in answer.parts} == set(parts)
     assert answer.manifest == holding.in_force.parts
-    assert holding.answer(ConfigurationAsk(Revision(2))) == ConfigurationAnswer(
+    assert holding.answer(ConfigurationRequest(Revision(2))) == ConfigurationResponse(
         Revision(1)
     )
