--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -1,4 +1,4 @@
-"""What operators of one customer see names no other customer."""
+"""Operators of one customer see nothing that names another customer."""
 
 import msgspec
 
@@ -23,7 +23,7 @@
 from zinniaspool.core.journal import Decision, DecisionKind, Journal
 from zinniaspool.core.requests.refusals import RefusalLimiter
 
-_OWN, _RIVAL = CustomerId("care"), CustomerId("rival")
+_OWN, _OTHER = CustomerId("care"), CustomerId("rival")
 
 
 def _decide(at: float, number: int, customers: str) -> Decision:
@@ -37,15 +37,15 @@
     )
 
 
-def test_decisions_of_several_processes_stand_in_order() -> None:
+def test_decisions_of_several_processes_are_in_order() -> None:
     found = merge_decisions(
         [[_decide(1.0, 1, ""), _decide(3.0, 2, "")], [_decide(2.0, 9, "")]]
     )
     assert [decision.at for decision in found] == [1.0, 2.0, 3.0]
 
 
-def test_decisions_show_nothing_of_rivals() -> None:
-    """A shared group's decision stays without the rival; others go."""
+def test_decisions_show_nothing_of_other_customers() -> None:
+    """A shared decision is kept without the other customer; others are not."""
     shared, foreign = _decide(1.0, 1, "care,rival"), _decide(2.0, 2, "rival")
     unnamed = _decide(3.0, 3, "")
     seen = restrict_decisions([shared, foreign, unnamed], _OWN, "group:g1")
@@ -53,24 +53,25 @@
     assert b"rival" not in msgspec.json.encode(seen)
 
 
-def test_a_refusal_shows_to_its_customer_alone() -> None:
+def test_a_refusal_is_shown_to_its_customer_alone() -> None:
     subjects = ("request:r1", "customer:care", "upstream:rival-box")
     refused = Decision(1.0, 1, DecisionKind.REQUEST_REFUSED, subjects, "no room")
     (seen,) = restrict_decisions([refused], _OWN, "request:r1")
     assert seen.subjects == ("request:r1",)
-    assert restrict_decisions([refused], _RIVAL, "request:r1") == []
+    assert restrict_decisions([refused], _OTHER, "request:r1") == []
 
 
-def test_a_flood_of_refusals_pushes_nothing_else_out() -> None:
-    """Operators find another customer's refusal, and a VM's loss, after it.
+def test_many_refusals_push_out_no_other_decision() -> None:
+    """Operators still find another customer's refusal and the loss of a VM.
 
-    One customer is shed ten thousand times in ten seconds. What is kept of
-    it is bounded, and the next one kept says how many are missing.
+    One customer's requests are refused ten thousand times in ten seconds. Only
+    a bounded number of these refusals is kept, and the next one that is kept
+    carries the number of those left out.
     """
     rate, journal = RefusalLimiter(rate_per_s=2.0, burst=10), Journal(4, 40)
     kind = DecisionKind.REQUEST_REFUSED
     journal.record(0.0, DecisionKind.VM_OUT, ("vm:v1",), "absent")
-    assert rate.admit(_RIVAL, 0.0) == 0
+    assert rate.admit(_OTHER, 0.0) == 0
     journal.record(0.0, kind, ("request:rival",), "no room")
     kept = left_out = 0
     for number in range(10_000):
@@ -84,11 +85,11 @@
     assert kept + left_out == 10_000
     for subject in ("vm:v1", "request:rival", "request:0"):
         assert len(journal.find(subject)) == 1, subject
-    numbers = [decision.number for decision in journal.recent()]
+    numbers = [decision.number for decision in journal.list_decisions()]
     assert numbers == sorted(numbers)
 
 
-def test_a_domain_shows_nothing_of_rivals() -> None:
+def test_a_domain_shows_nothing_of_other_customers() -> None:
     def group(name: str, *customers: CustomerId) -> GroupDescription:
         return GroupDescription(
             GroupId(name),
@@ -106,12 +107,12 @@
         FabricDomainId("d0"),
         True,
         Epoch(1),
-        (group("g1", _OWN, _RIVAL), group("rival-g2", _RIVAL)),
+        (group("g1", _OWN, _OTHER), group("rival-g2", _OTHER)),
         (
             IdleDescription(VmId("vm2"), _OWN, "too-few"),
-            IdleDescription(VmId("rival-vm"), _RIVAL, "too-few"),
+            IdleDescription(VmId("rival-vm"), _OTHER, "too-few"),
         ),
-        (ShortfallDescription(ModelName("rival-model"), (_RIVAL,), "wanted", ""),),
+        (ShortfallDescription(ModelName("rival-model"), (_OTHER,), "wanted", ""),),
         Measures(downtime_s=5.0),
     )
     seen = restrict_domain(domain, _OWN)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""What peers may send: messages, those of newer versions, and anything."""
+"""Decoding of frames: messages, messages of newer versions, and garbage."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from tests.fakes import run_in_loop
 from zinniaspool.core.ids import Address, FailureDomainId, Incarnation, NodeId
 from zinniaspool.core.messages import PROTOCOL_VERSION, Accepted, Hello, Message
-from zinniaspool.core.messages.membership import Probe, Probed
+from zinniaspool.core.messages.membership import ProbeRequest, ProbeResponse
 from zinniaspool.peers import (
     FrameError,
     PeerLinks,
@@ -47,8 +47,8 @@
 
 
 @given(st.binary(max_size=64) | _VALUES.map(_frame))
-def test_whatever_a_peer_sends_is_a_message_or_a_frame_error(data: bytes) -> None:
-    """No bytes raise anything else or yield a half message."""
+def test_any_bytes_are_a_message_or_a_frame_error(data: bytes) -> None:
+    """No bytes raise another error or yield part of a message."""
     try:
         found = _read(data)
     except FrameError:
@@ -57,12 +57,12 @@
 
 
 @given(st.integers(0, 40))
-def test_a_frame_cut_anywhere_is_no_message(kept: int) -> None:
+def test_a_truncated_frame_is_no_message(kept: int) -> None:
     assert _read(encode_frame(_HELLO)[:kept]) is None
 
 
-def test_messages_of_newer_versions_are_passed_over() -> None:
-    """An unknown kind and an unknown field end no connection."""
+def test_messages_of_newer_versions_are_skipped() -> None:
+    """An unknown kind or an unknown field does not end the connection."""
     assert _read(_frame({"type": "from-the-future", "x": 1})) == UnknownMessage(
         "from-the-future"
     )
@@ -72,39 +72,39 @@
         _read(_frame({"type": "hello", "protocol": "wrong"}))
 
 
-def test_an_answer_that_was_given_up_never_answers_the_next_question() -> None:
-    """A question is cancelled while its answer is on the way.
+def test_a_late_answer_never_answers_the_next_request() -> None:
+    """A request is cancelled while its answer is on the way.
 
-    The next question to the same peer must get its own answer; on the same
-    connection it would read the late answer of the first.
+    The next request to the same peer must get its own answer; on the same
+    connection it would read the late answer to the first request.
     """
 
     async def trial() -> None:
-        asked = asyncio.Event()
+        received = asyncio.Event()
         release = asyncio.Event()
 
         async def handle(_: Hello, message: Message) -> Message | None:
-            assert isinstance(message, Probe)
+            assert isinstance(message, ProbeRequest)
             if message.node == "slow":
-                asked.set()
+                received.set()
                 await release.wait()
-                return Probed(alive=False)
-            return Probed(alive=True)
+                return ProbeResponse(alive=False)
+            return ProbeResponse(alive=True)
 
         listener = PeerListener(NodeId("peer"), lambda secret: True, handle)
         address = await listener.listen(Address("127.0.0.1:0"))
         links = PeerLinks(lambda: _HELLO, timeout_s=20.0)
         slow = asyncio.create_task(
-            links.ask(address, Probe(NodeId("slow"), Address("")))
+            links.ask(address, ProbeRequest(NodeId("slow"), Address("")))
         )
-        await asked.wait()
+        await received.wait()
         slow.cancel()
         await asyncio.gather(slow, return_exceptions=True)
         release.set()
-        answer = await links.ask(address, Probe(NodeId("quick"), Address("")))
-        assert answer == Probed(alive=True)
+        answer = await links.ask(address, ProbeRequest(NodeId("quick"), Address("")))
+        assert answer == ProbeResponse(alive=True)
         wrong = await links.ask(
-            address, Probe(NodeId("quick"), Address("")), NodeId("another")
+            address, ProbeRequest(NodeId("quick"), Address("")), NodeId("another")
         )
         assert wrong is None
         links.close()
@@ -114,7 +114,7 @@
 
 
 def test_an_accepted_connection_names_the_lower_version() -> None:
-    """The versions of both sides are settled before anything else is said."""
+    """Both sides agree on a version before they exchange other messages."""
 
     async def trial() -> None:
         async def handle(_: Hello, __: Message) -> Message | None:
--- a/tests/test_group_guards.py
+++ b/tests/test_group_guards.py
@@ -42,11 +42,11 @@
     DrainCause,
     EngineReport,
     EngineState,
+    ExcludedVm,
+    ExclusionReason,
     GroupPlan,
     GroupStage,
     OrderKind,
-    OutReason,
-    OutVm,
 )
 
 _D0 = FabricDomainId("d0")
@@ -139,7 +139,9 @@
 
 def test_a_vm_that_settles_stays_out() -> None:
     world = _one_domain("aa")
-    world.plans[_D0] = DomainPlan(_D0, (), Epoch(1), (OutVm(_A, OutReason.ABSENT),))
+    world.plans[_D0] = DomainPlan(
+        _D0, (), Epoch(1), (ExcludedVm(_A, ExclusionReason.ABSENT),)
+    )
     world.conditions[_A] = VmCondition.SETTLING
     assert world.step(_D0).plan is world.plans[_D0]
     assert world.plans[_D0].out
@@ -215,7 +217,7 @@
         group.id
         for step in steps
         for group in step.plan.groups
-        if group.cause is DrainCause.TAKEN
+        if group.cause is DrainCause.REASSIGNED
     }
     assert len(taken) == 1
     assert (world.serving("m"), world.serving("x")) == (1, 2)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,12 @@
 from zinniaspool.core.ids import NodeId
 from zinniaspool.core.membership import Ask, MemberState, Topic
 from zinniaspool.core.membership.members import Standing
-from zinniaspool.core.messages.membership import Compare, Compared, Push, WireNotice
+from zinniaspool.core.messages.membership import (
+    CompareRequest,
+    CompareResponse,
+    Push,
+    WireNotice,
+)
 
 _NODES = [f"n{k}" for k in range(6)]
 _SEEDS = _NODES[:2]
@@ -245,8 +250,8 @@
     accuser = net.machines[NodeId("n0")]
     accuser.roster.accuse(NodeId("n3"), Standing.SILENT, net.now)
     accuser.roster.notices._hot.clear()  # Told to some others long ago.
-    answer = accuser.receive(NodeId("n3"), Compare((), ()), net.now)
-    assert isinstance(answer, Compared)
+    answer = accuser.receive(NodeId("n3"), CompareRequest((), ()), net.now)
+    assert isinstance(answer, CompareResponse)
     accused = net.machines[NodeId("n3")]
     accused.roster.take(answer.notices, net.now)
     own = accused.roster.notices.find(Topic.MEMBERS, "n3", net.now)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -121,7 +121,7 @@
     urgent = make_model("urgent", 2, 1, 1)
     world.configuration = make_configuration(vms, (extra, urgent))
     step = world.step(FabricDomainId("d0"))
-    assert [g.cause for g in step.plan.groups].count(DrainCause.TAKEN) == 1
+    assert [g.cause for g in step.plan.groups].count(DrainCause.REASSIGNED) == 1
     world.settle()
     assert (world.serving("extra"), world.serving("urgent")) == (1, 1)
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -104,7 +104,7 @@
     assert catalog.find_route("care.example", "/cardsx/1") is None
     stream = catalog.find_route("care.example", "/drafts/1")
     assert stream is not None
-    assert (stream.kind, stream.repeatable, stream.pause_s) == (
+    assert (stream.kind, stream.repeatable, stream.max_pause_s) == (
         RequestKind.STREAM,
         True,
         0.25,
@@ -197,8 +197,8 @@
 
 def test_a_start_is_read_of_entries_and_answers() -> None:
     entry = read_entry("servers/i-1", _spoil(born=1_700_000_000_123)).unwrap()
-    assert entry.born == 1_700_000_000_123
-    assert read_entry("servers/i-1", _spoil()).unwrap().born is None
+    assert entry.started_at_ms == 1_700_000_000_123
+    assert read_entry("servers/i-1", _spoil()).unwrap().started_at_ms is None
     assert read_status(b'{"born":5}').unwrap().born == 5
 
 
@@ -224,7 +224,7 @@
     read = read_entry("servers/i-1", value)
     if isinstance(read, Ok):
         again = read_entry("servers/i-1", amended.unwrap()).unwrap()
-        assert (again.born, again.membership) == (5, None)
+        assert (again.started_at_ms, again.membership) == (5, None)
         assert again.address == read.ok_value.address
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -13,7 +13,7 @@
     QuarantineStatus,
     identify_content,
 )
-from zinniaspool.core.fleet import HELD_PREFIX, InstanceId, InstanceLife
+from zinniaspool.core.fleet import HELD_PREFIX, InstanceId, InstanceIncarnation
 from zinniaspool.core.ids import ContentId
 
 _CRASH_MARK = "crash"
@@ -273,8 +273,8 @@
 _CONTENT = ContentId("c0")
 
 
-def _make_incarnation(number: int, born: int = 0) -> InstanceLife:
-    return InstanceLife(InstanceId(f"i-{number}"), born)
+def _make_incarnation(number: int, born: int = 0) -> InstanceIncarnation:
+    return InstanceIncarnation(InstanceId(f"i-{number}"), born)
 
 
 def _crash_three(quarantine: Quarantine, now: float) -> list[QuarantineStatus]:
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -4,57 +4,57 @@
 import random
 
 from tests.installation import Installation, eventually, run
-from zinniaspool.core.fleet import Reachability, TryOutcome
+from zinniaspool.core.fleet import ProbeOutcome, ReachabilityTracker
 from zinniaspool.core.ids import NodeId
 
-MOST_LOST = 4
+UNREACHABLE_VMS = 4
 OTHERS = [NodeId(f"n{number}") for number in range(7)]
 
 
-def make_reachability() -> Reachability:
-    return Reachability(random.Random(1))
+def make_tracker() -> ReachabilityTracker:
+    return ReachabilityTracker(random.Random(1))
 
 
-def test_one_lost_try_excludes_nobody() -> None:
-    """A link that loses packets now and then loses a connection's first."""
-    seen = make_reachability()
-    assert not seen.note(OTHERS[0], TryOutcome.SILENT)
-    assert OTHERS[0] in seen.list_usable(OTHERS)
-    assert OTHERS[0] in seen.choose(OTHERS)
-    assert seen.note(OTHERS[0], TryOutcome.SILENT)
-    assert OTHERS[0] not in seen.list_usable(OTHERS)
+def test_one_failed_probe_excludes_no_vm() -> None:
+    """A link that loses packets may lose the first one of a connection."""
+    tracker = make_tracker()
+    assert not tracker.record_outcome(OTHERS[0], ProbeOutcome.NO_ANSWER)
+    assert OTHERS[0] in tracker.list_usable(OTHERS)
+    assert OTHERS[0] in tracker.choose_probes(OTHERS)
+    assert tracker.record_outcome(OTHERS[0], ProbeOutcome.NO_ANSWER)
+    assert OTHERS[0] not in tracker.list_usable(OTHERS)
 
 
-def test_an_unreachable_vm_is_tried_until_it_is_back() -> None:
-    seen = make_reachability()
-    assert seen.note(OTHERS[0], TryOutcome.REFUSED)
-    assert not seen.note(OTHERS[0], TryOutcome.REFUSED)
+def test_an_unreachable_vm_is_probed_until_it_is_back() -> None:
+    tracker = make_tracker()
+    assert tracker.record_outcome(OTHERS[0], ProbeOutcome.REFUSED)
+    assert not tracker.record_outcome(OTHERS[0], ProbeOutcome.REFUSED)
     for _ in range(5):
-        assert OTHERS[0] in seen.choose(OTHERS)
-    seen.note(OTHERS[0], TryOutcome.REACHED)
-    assert seen.list_usable(OTHERS) == set(OTHERS)
+        assert OTHERS[0] in tracker.choose_probes(OTHERS)
+    tracker.record_outcome(OTHERS[0], ProbeOutcome.REACHED)
+    assert tracker.list_usable(OTHERS) == set(OTHERS)
 
 
-def test_who_reaches_hardly_anybody_excludes_nobody() -> None:
-    """Callers would all be sent to one VM that is cut off from the others."""
-    seen = make_reachability()
-    for name in OTHERS[:MOST_LOST]:
-        seen.note(name, TryOutcome.REFUSED)
-    assert seen.list_usable(OTHERS) == set(OTHERS)
+def test_a_vm_that_reaches_hardly_any_other_excludes_none() -> None:
+    """All callers would be sent to a VM that is cut off from the others."""
+    tracker = make_tracker()
+    for name in OTHERS[:UNREACHABLE_VMS]:
+        tracker.record_outcome(name, ProbeOutcome.REFUSED)
+    assert tracker.list_usable(OTHERS) == set(OTHERS)
 
 
-def test_a_vm_that_another_one_does_not_reach_is_tried_next() -> None:
-    seen = make_reachability()
+def test_a_vm_that_another_process_did_not_reach_is_probed_next() -> None:
+    tracker = make_tracker()
     for name in OTHERS:
-        seen.suspect(name)
-        assert name in seen.choose(OTHERS)
+        tracker.suspect(name)
+        assert name in tracker.choose_probes(OTHERS)
 
 
-def test_callers_are_not_told_of_a_vm_that_is_gone_though_the_store_is_down() -> None:
+def test_an_ended_vm_is_not_announced_while_the_store_is_down() -> None:
     """A caller that is sent to a VM without power waits for a second.
 
-    The VM ends while the store is down, so that its record stays where it is.
-    The others do not reach it, and leave it out of their answers.
+    The VM ends while the store is down, so its record stays in all copies.
+    The other VMs cannot reach it and stop announcing it.
     """
 
     async def test() -> None:
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -12,10 +12,10 @@
     FANOUT,
     HOLDER_KEY,
     NODES_PREFIX,
-    DemandSums,
+    DemandTotals,
     HolderRecord,
     MirrorEvent,
-    ModelDemandNote,
+    ModelDemandReport,
     NodeRecord,
     NodeState,
     StoredItem,
@@ -29,7 +29,7 @@
     Revision,
     ServiceName,
 )
-from zinniaspool.core.messages.fleet import FleetNews, FleetWatch
+from zinniaspool.core.messages.fleet import FleetUpdate, FleetWatch
 from zinniaspool.core.storage import StoreFault, WatchResult
 from zinniaspool.fleet import FleetBelief, FleetFollower, HolderSight, Place
 from zinniaspool.fleet.mesh import pack_items
@@ -86,18 +86,18 @@
         assert len(set(chosen)) == len(chosen)
 
 
-def make_demand(busy: float) -> list[ModelDemandNote]:
-    return [ModelDemandNote(*MODEL, busy)]
+def make_demand(busy: float) -> list[ModelDemandReport]:
+    return [ModelDemandReport(*MODEL, busy)]
 
 
 def test_demand_is_summed_over_followers_and_forgotten_with_them() -> None:
-    sums = DemandSums()
-    sums.take(NodeId("a"), make_demand(2.0), 0.0)
-    sums.take(NodeId("b"), make_demand(3.5), 0.4)
-    sums.take(NodeId("a"), make_demand(1.0), 0.5)
-    assert sums.add_up(0.6) == make_demand(4.5)
-    assert sums.add_up(1.45) == make_demand(1.0)
-    assert sums.add_up(9.0) == []
+    sums = DemandTotals()
+    sums.update(NodeId("a"), make_demand(2.0), 0.0)
+    sums.update(NodeId("b"), make_demand(3.5), 0.4)
+    sums.update(NodeId("a"), make_demand(1.0), 0.5)
+    assert sums.sum_by_model(0.6) == make_demand(4.5)
+    assert sums.sum_by_model(1.45) == make_demand(1.0)
+    assert sums.sum_by_model(9.0) == []
 
 
 class FakeMesh:
@@ -107,15 +107,15 @@
         self.silent: set[Address] = set()
         self.asked: list[Address] = []
         self.as_of = Revision(5)
-        self.demands: list[list[ModelDemandNote]] = []
+        self.demands: list[list[ModelDemandReport]] = []
 
-    async def ask(self, address: Address, watch: FleetWatch) -> FleetNews | None:
+    async def ask(self, address: Address, watch: FleetWatch) -> FleetUpdate | None:
         self.asked.append(address)
         self.demands.append(watch.demands)
         await asyncio.sleep(0.001)
         if address in self.silent:
             return None
-        return FleetNews(
+        return FleetUpdate(
             "src",
             1,
             not watch.as_of,
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -8,7 +8,7 @@
 from hypothesis import given, strategies as st
 
 from tests.test_dispatch import find, make_pool, make_target
-from tests.virtual_time import run_virtually
+from tests.virtual_time import run_in_virtual_time
 from zinniaspool.core.dispatch import (
     EngineTiming,
     StallLimits,
@@ -219,7 +219,7 @@
             async with asyncio.timeout(10.0):
                 await detector.run()
 
-    run_virtually(test)
+    run_in_virtual_time(test)
     assert len(checks) <= 10.0 / MOST_PAUSE_S + 1
     assert all(b - a >= LEAST_PAUSE_S for a, b in pairwise(checks))
 
@@ -251,4 +251,4 @@
         assert len(reports) == 1
         assert due <= reports[0]
 
-    run_virtually(test)
+    run_in_virtual_time(test)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -8,7 +8,7 @@
 import pytest
 from result import Err, Ok, Result
 
-from tests.virtual_time import run_virtually
+from tests.virtual_time import run_in_virtual_time
 from zinniaspool.core.fleet import (
     HOLDER_KEY,
     NODES_PREFIX,
@@ -38,7 +38,7 @@
     Revision,
     ServiceName,
 )
-from zinniaspool.core.messages.fleet import FleetNews, FleetWatch
+from zinniaspool.core.messages.fleet import FleetUpdate, FleetWatch
 from zinniaspool.core.storage import StoreFault, WatchResult
 from zinniaspool.fleet import (
     FleetBelief,
@@ -162,7 +162,13 @@
         known = read_entry(f"servers/{name}", value).unwrap()
         return Ok(
             EngineStatus(
-                known.membership, known.model, known.staged, 0, 0, 1.0, known.born
+                known.membership,
+                known.model,
+                known.staged,
+                0,
+                0,
+                1.0,
+                known.started_at_ms,
             )
         )
 
@@ -325,7 +331,7 @@
             address: one for address, one in self._by_address.items() if one != control
         }
 
-    async def ask(self, address: Address, watch: FleetWatch) -> FleetNews | None:
+    async def ask(self, address: Address, watch: FleetWatch) -> FleetUpdate | None:
         """Carry a question between two processes."""
         await asyncio.sleep(LINK_S)
         asked = self._by_address.get(address)
@@ -396,7 +402,7 @@
         assert fleet.count_users(list_heads("d0")) == len(fleet.entries)
         fleet.end()
 
-    run_virtually(test)
+    run_in_virtual_time(test)
 
 
 def test_a_wrong_verdict_is_taken_back_as_soon() -> None:
@@ -421,7 +427,7 @@
         assert told_at - known_at <= TOLD_S
         fleet.end()
 
-    run_virtually(test)
+    run_in_virtual_time(test)
 
 
 def test_a_verdict_ends_with_the_holder_that_could_take_it_back() -> None:
@@ -445,4 +451,4 @@
         await wait_until(lambda: fleet.count_users(heads) == left, 4.0)
         fleet.end()
 
-    run_virtually(test)
+    run_in_virtual_time(test)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock jumps to the next timer: no test waits for real.
+"""An event loop whose clock jumps to the next timer instead of waiting.
 
-For tests of many processes in one loop, whose bounds are then on what the
-processes decide and not on how fast this machine is.
+It is for tests of many processes in one loop. Their time limits then apply to
+what the processes decide, and not to the speed of the test machine.
 """
 
 import asyncio
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-__all__ = ["run_virtually"]
+__all__ = ["run_in_virtual_time"]
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Lets the clock jump in place of waiting."""
+    """Advances the clock by the timeout instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,7 +36,7 @@
         return self._jumping.now
 
 
-def run_virtually(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test in which only timers are waited for."""
+def run_in_virtual_time(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    """Run a test that waits for nothing but timers."""
     with asyncio.Runner(loop_factory=_VirtualLoop) as runner:
         runner.run(test())
--- a/tools/try_safeguards.py
+++ b/tools/try_safeguards.py
@@ -56,7 +56,7 @@
     Safeguard(
         "only an upstream that has ended counts as crashed",
         "src/zinniaspool/gateway/crashes.py",
-        "if outcome is not TryOutcome.REFUSED:",
+        "if outcome is not ProbeOutcome.REFUSED:",
         "if False:",
         "tests/test_quarantine.py::"
         "test_a_request_cut_where_no_upstream_ends_is_not_quarantined",
@@ -136,15 +136,15 @@
     Safeguard(
         "a removed key does not come back by an old copy",
         f"{CORE}/fleet/mirror.py",
-        "        if self._removed.get(item.key, 0) >= item.revision:\n"
+        "        if self._removal_revisions.get(item.key, 0) >= item.revision:\n"
         "            return []\n",
         "",
         "tests/test_mirror.py",
     ),
     Safeguard(
-        "entries that lapse around an outage are doubted",
+        "removals around an outage are deferred",
         f"{CORE}/fleet/mirror.py",
-        "if self._lapses(key) and now < self._disturbed_until:",
+        "if self._is_ephemeral(key) and now < self._grace_ends_at:",
         "if False:",
         "tests/test_mirror.py",
     ),
@@ -192,9 +192,9 @@
         "tests/test_streams.py",
     ),
     Safeguard(
-        "a doubted removal is not told as known",
+        "a deferred removal is not reported as applied",
         f"{CORE}/fleet/mirror.py",
-        "return Revision(min([self.as_of, *(one - 1 for one in doubted)]))",
+        "return Revision(min([self.as_of, *(revision - 1 for revision in deferred)]))",
         "return self.as_of",
         "tests/test_mirror.py",
     ),
--- a/tools/write_references.py
+++ b/tools/write_references.py
@@ -30,7 +30,7 @@
     Share,
     Vm,
 )
-from zinniaspool.core.errors import ANSWERS, ErrorKind, Outcome
+from zinniaspool.core.errors import ERROR_ANSWERS, ErrorKind, Outcome
 from zinniaspool.core.journal import DecisionKind
 from zinniaspool.settings import ControlSettings, EntrySettings, TlsFiles
 from zinniaspool.telemetry import LOG_EVENTS
@@ -86,10 +86,10 @@
     rows = [
         (
             f"`{kind.value}`",
-            str(ANSWERS[kind].status),
-            f"`{ANSWERS[kind].outcome.value}`",
-            str(ANSWERS[kind].retry_after or "-"),
-            ANSWERS[kind].message,
+            str(ERROR_ANSWERS[kind].status),
+            f"`{ERROR_ANSWERS[kind].outcome.value}`",
+            str(ERROR_ANSWERS[kind].retry_after or "-"),
+            ERROR_ANSWERS[kind].message,
         )
         for kind in ErrorKind
     ]
