--- a/benchmarks/beats.py
+++ b/benchmarks/beats.py
@@ -11,8 +11,8 @@
 from benchmarks.groups.histories import FleetSize, make_fleet
 from benchmarks.groups.replay import Replay
 from benchmarks.repair import DOWNTIME_FIRST
-from zinniaspool.core.groups import ExpectedCost, SeenReport
-from zinniaspool.core.groups.beats import encode_beat, encode_plan, make_beat
+from zinniaspool.core.groups import ExpectedCostPolicy, TimedReport
+from zinniaspool.core.groups.beats import encode_heartbeat, encode_plan, make_heartbeat
 
 __all__ = ["EvidenceCost", "measure_evidence"]
 
@@ -44,16 +44,18 @@
 def measure_evidence(size: FleetSize) -> EvidenceCost:
     """Return what evidence costs when all groups serve."""
     fleet = make_fleet(size, DOWNTIME_FIRST)
-    replay = Replay(fleet.configuration, ExpectedCost(DOWNTIME_FIRST))
+    replay = Replay(fleet.configuration, ExpectedCostPolicy(DOWNTIME_FIRST))
     replay.run([], 0.1)
-    seen = {vm: SeenReport(report, 0.0) for vm, report in replay.reports.items()}
-    beats = [make_beat(p, seen, "control-00@1796500000000", 9.9) for p in replay.plans]
+    seen = {vm: TimedReport(report, 0.0) for vm, report in replay.reports.items()}
+    beats = [
+        make_heartbeat(p, seen, "control-00@1796500000000", 9.9) for p in replay.plans
+    ]
     reports = [msgspec.msgpack.encode(report) for report in replay.reports.values()]
     return EvidenceCost(
         size,
         len(replay.plans),
         sum(len(plan.groups) for plan in replay.plans),
-        sum(len(encode_beat(beat)) + _NOTICE_BYTES for beat in beats),
+        sum(len(encode_heartbeat(beat)) + _NOTICE_BYTES for beat in beats),
         sum(len(encode_plan(plan)) + _NOTICE_BYTES for plan in replay.plans),
         sum(map(len, reports)),
     )
--- a/benchmarks/capacity_messages.py
+++ b/benchmarks/capacity_messages.py
@@ -7,7 +7,11 @@
 import msgspec
 
 from benchmarks.measurements import keep_rows
-from zinniaspool.core.groups.beats import DomainBeat, GroupBeat, encode_beat
+from zinniaspool.core.groups.beats import (
+    DomainHeartbeat,
+    GroupHeartbeat,
+    encode_heartbeat,
+)
 from zinniaspool.core.ids import (
     CustomerId,
     Epoch,
@@ -41,11 +45,11 @@
 
 
 def _make_beat(groups: int) -> bytes:
-    group = GroupBeat(2**62, 250, 12, 3)
+    group = GroupHeartbeat(2**62, 250, 12, 3)
     source = f"control17/{_VERSION}"
     domain = FabricDomainId("fabric-north-17")
-    return encode_beat(
-        DomainBeat(domain, source, 12345.678, Epoch(123_456), (group,) * groups)
+    return encode_heartbeat(
+        DomainHeartbeat(domain, source, 12345.678, Epoch(123_456), (group,) * groups)
     )
 
 
--- a/benchmarks/groups/policies.py
+++ b/benchmarks/groups/policies.py
@@ -7,7 +7,7 @@
     BrokenGroup,
     RepairChoice,
     RepairDecision,
-    RepairMeans,
+    RepairOptions,
     ReturnModel,
 )
 
@@ -17,11 +17,11 @@
 class WaitOnly:
     """Waits for every VM."""
 
-    def choose(self, group: BrokenGroup, means: RepairMeans) -> RepairDecision:
+    def choose(self, group: BrokenGroup, options: RepairOptions) -> RepairDecision:
         """See the protocol."""
         return RepairDecision(RepairChoice.WAIT, "waits")
 
-    def rank(self, group: BrokenGroup) -> float:
+    def cost_per_s(self, group: BrokenGroup) -> float:
         """See the protocol."""
         return 0.0
 
@@ -29,13 +29,13 @@
 class FirstFitSpare:
     """Takes a spare at once where there is one, and else waits."""
 
-    def choose(self, group: BrokenGroup, means: RepairMeans) -> RepairDecision:
+    def choose(self, group: BrokenGroup, options: RepairOptions) -> RepairDecision:
         """See the protocol."""
-        if means.spares >= group.missing:
+        if options.spares >= group.missing:
             return RepairDecision(RepairChoice.SPARE, "a spare is there")
         return RepairDecision(RepairChoice.WAIT, "no spare")
 
-    def rank(self, group: BrokenGroup) -> float:
+    def cost_per_s(self, group: BrokenGroup) -> float:
         """See the protocol."""
         return 0.0
 
@@ -52,15 +52,15 @@
     clock: Callable[[], float] = float
     returns: Mapping[float, float] | None = None
 
-    def rate_with_weights(self, absent_s: float) -> float:
+    def return_rate_with_weights(self, absent_s: float) -> float:
         """See the base class."""
-        return self.rate(absent_s)
+        return self.return_rate(absent_s)
 
-    def rate(self, absent_s: float) -> float:
+    def return_rate(self, absent_s: float) -> float:
         """See the base class: waits exactly when the wait is shorter."""
-        return 1 / max(0.001, self.expected_s(absent_s))
+        return 1 / max(0.001, self.expected_wait_s(absent_s))
 
-    def expected_s(self, absent_s: float) -> float:
+    def expected_wait_s(self, absent_s: float) -> float:
         """See the base class."""
         assert self.returns is not None
         lost = self.clock() - absent_s
--- a/benchmarks/groups/replay.py
+++ b/benchmarks/groups/replay.py
@@ -17,11 +17,11 @@
     ChangeKind,
     DomainInput,
     FleetIndex,
-    Load,
-    LoadQueue,
     RepairPolicy,
     VmCondition,
     VmView,
+    WeightLoad,
+    WeightLoadQueue,
     decide_orders,
     plan_domain,
 )
@@ -101,7 +101,7 @@
     """One domain's share of the measures, worked out when it changes."""
 
     plan: DomainPlan
-    loads: LoadQueue
+    loads: WeightLoadQueue
     ready: frozenset[GroupId] = frozenset()
     serving_vms: int = 0
     present: int = 0
@@ -137,7 +137,7 @@
         self._domains = {
             name: _Domain(
                 DomainPlan(name),
-                LoadQueue(rate * len(vms) / total),
+                WeightLoadQueue(rate * len(vms) / total),
                 present=len(vms),
             )
             for name, vms in self._index.domains.items()
@@ -272,7 +272,7 @@
         began = process_time()
         step = plan_domain(given, self._policy, self.now)
         self.outcome.cpu_s += process_time() - began
-        self.outcome.steps += step.steps
+        self.outcome.steps += step.candidates_checked
         self.outcome.plans += 1
         if step.plan is not domain.plan:
             domain.plan = step.plan
@@ -310,10 +310,10 @@
             assert order.model is not None
             gb = self._index.models[order.model].weights_gb
             absent = sum(member in self._absent for member in order.members)
-            due.append(Load((float(absent), float(order.epoch)), vm, gb))
+            due.append(WeightLoad((float(absent), float(order.epoch)), vm, gb))
         for load in domain.loads.admit(due, self.now):
             self.outcome.loaded_gb += load.gb
-            self._begin(loads[load.name], load.gb / domain.loads.gb_per_s)
+            self._begin(loads[load.vm], load.gb / domain.loads.gb_per_s)
         if loads:
             free_s = domain.loads.backlog_gb(self.now) / domain.loads.gb_per_s
             self._look(name, max(_ORDER_S, free_s))
--- a/benchmarks/repair.py
+++ b/benchmarks/repair.py
@@ -21,7 +21,7 @@
 from benchmarks.groups.policies import FirstFitSpare, KnownReturns, WaitOnly
 from benchmarks.groups.replay import Outcome, Replay
 from zinniaspool.core.deployment import RepairWeights
-from zinniaspool.core.groups import ExpectedCost, RepairPolicy
+from zinniaspool.core.groups import ExpectedCostPolicy, RepairPolicy
 from zinniaspool.core.ids import VmId
 
 __all__ = [
@@ -68,8 +68,8 @@
     return Comparison(
         _run(fleet, WaitOnly(), history, days),
         _run(fleet, FirstFitSpare(), history, days),
-        _run(fleet, ExpectedCost(DOWNTIME_FIRST), history, days),
-        _run(fleet, ExpectedCost(STRANDED_FIRST), history, days),
+        _run(fleet, ExpectedCostPolicy(DOWNTIME_FIRST), history, days),
+        _run(fleet, ExpectedCostPolicy(STRANDED_FIRST), history, days),
         _run_known(fleet, history, days),
     )
 
@@ -83,7 +83,7 @@
 def _run_known(fleet: Fleet, history: list[Absence], days: float) -> Outcome:
     replay = Replay(fleet.configuration, WaitOnly())
     returns = KnownReturns(clock=lambda: replay.now, returns=replay.returns)
-    replay.use(ExpectedCost(DOWNTIME_FIRST, returns))
+    replay.use(ExpectedCostPolicy(DOWNTIME_FIRST, returns))
     return replay.run(history, days)
 
 
@@ -107,13 +107,13 @@
 def measure_planner(vms: int, losses: int = 20) -> PlannerWork:
     """Return the planner's work for losses one after the other."""
     configuration = make_sized_fleet(vms, DOWNTIME_FIRST)
-    replay = Replay(configuration, ExpectedCost(DOWNTIME_FIRST))
+    replay = Replay(configuration, ExpectedCostPolicy(DOWNTIME_FIRST))
     names = [vm.id for vm in configuration.inventory.vms]
     history = [
         Absence(7200.0 + 600.0 * k, VmId(names[k * 7 % len(names)]), 120.0, False)
         for k in range(losses)
     ]
-    idle = Replay(configuration, ExpectedCost(DOWNTIME_FIRST)).run([], 1.0)
+    idle = Replay(configuration, ExpectedCostPolicy(DOWNTIME_FIRST)).run([], 1.0)
     outcome = replay.run(history, 1.0)
     runs = outcome.plans - idle.plans
     return PlannerWork(
--- a/src/zinniaspool/control/domain.py
+++ b/src/zinniaspool/control/domain.py
@@ -13,21 +13,21 @@
 from zinniaspool.control.leases import DomainStore
 from zinniaspool.control.notes import DomainNotes
 from zinniaspool.control.ranks import ControlRanks
-from zinniaspool.core.groups import FleetIndex, Holder, HolderLimits, Proposal
+from zinniaspool.core.groups import FleetIndex, Holder, HolderLimits, PlanProposal
 from zinniaspool.core.groups.beats import (
     BEAT_PREFIX,
     PLAN_PREFIX,
-    DomainBeat,
-    encode_beat,
+    DomainHeartbeat,
+    encode_heartbeat,
     encode_plan,
-    make_beat,
+    make_heartbeat,
 )
 from zinniaspool.core.groups.succession import (
-    Duty,
-    Succession,
-    SuccessionLimits,
+    DomainFailover,
+    DomainRole,
+    FailoverLimits,
 )
-from zinniaspool.core.groups.tenure import TenureLimits
+from zinniaspool.core.groups.tenure import LeaseTenureLimits
 from zinniaspool.core.groups.tracking import TrackingLimits
 from zinniaspool.core.ids import Address, FabricDomainId, NodeId, VmId
 from zinniaspool.core.membership import Topic
@@ -99,14 +99,14 @@
         self._store = DomainStore(frame.store, domain, frame.node, settings.lease_s)
         self._engines = EngineCalls(frame.http, settings.order_s * _CALL_PART)
         self._renew_s = limits.tenure.lease_s * limits.tenure.used_part / _RENEWALS
-        self._succession = Succession(_make_succession(settings), self._now)
+        self._succession = DomainFailover(_make_succession(settings), self._now)
         self._notes = DomainNotes(frame, domain)
         self._addresses: dict[VmId, Address] = {}
         self._published = _Published()
         self._source = f"{frame.node}@{frame.incarnation}"
         self._plans_read_at = float("-inf")
         self._trying: asyncio.Task[None] | None = None
-        self._duty = Duty.NONE
+        self._duty = DomainRole.NONE
 
     @property
     def _now(self) -> float:
@@ -119,22 +119,25 @@
         self._addresses = {vm.id: vm.address for vm in vms}
         self._notes.configure(index)
 
-    def hear(self, beat: DomainBeat) -> None:
+    def hear(self, beat: DomainHeartbeat) -> None:
         """Take another process's beat."""
         if beat.source == self._source:
             return
         sender = NodeId(beat.source.rpartition("@")[0])
         rank = self._ranks.rank(sender, self.domain)
-        self._succession.hear(beat.holds, beat.ends, rank, self._now)
+        self._succession.on_heartbeat(beat.holds, beat.ends, rank, self._now)
 
     def note_leaving(self, leaving: Collection[VmId]) -> None:
         """Take the VMs that the platform lists as leaving."""
-        self.holder.note_leaving(leaving)
+        self.holder.set_leaving(leaving)
 
     @property
     def is_active(self) -> bool:
         """Whether this process holds the domain or witnesses for it."""
-        return self._store.has_lease or self._duty in (Duty.WITNESS, Duty.TAKE)
+        return self._store.has_lease or self._duty in (
+            DomainRole.WITNESS,
+            DomainRole.CANDIDATE,
+        )
 
     @property
     def holds(self) -> bool:
@@ -156,7 +159,7 @@
     async def release(self) -> None:
         """End: say so, so that another process goes on at once."""
         active = self.is_active
-        self.holder.lose()
+        self.holder.end_tenure()
         # An order that left before the lease is given up must not arrive
         # after another process has taken it.
         await self._engines.settle()
@@ -169,7 +172,7 @@
     async def _step(self) -> None:
         if not self._store.has_lease:
             self._choose_duty()
-            if self._duty is Duty.NONE:
+            if self._duty is DomainRole.NONE:
                 return
         self._engines.ask(self._addresses, self._take_report, self._miss_report)
         if not self.is_active:
@@ -183,12 +186,12 @@
 
     def _choose_duty(self) -> None:
         rank = self._ranks.rank(self._frame.node, self.domain)
-        duty = self._succession.decide(rank, self._now)
-        if duty is Duty.TAKE and self._trying is None:
-            self._succession.note_try(self._now)
+        duty = self._succession.decide_role(rank, self._now)
+        if duty is DomainRole.CANDIDATE and self._trying is None:
+            self._succession.on_acquire_attempt(self._now)
             self._trying = asyncio.create_task(self._try_take())
         self._duty = duty
-        if duty is not Duty.NONE:
+        if duty is not DomainRole.NONE:
             self._follow_plan()
 
     def _follow_plan(self) -> None:
@@ -200,7 +203,7 @@
         asked_at = self._now
         try:
             if await self._store.take():
-                self.holder.take(asked_at, self._now)
+                self.holder.start_tenure(asked_at, self._now)
                 self._notes.note_held()
         finally:
             self._trying = None
@@ -214,10 +217,10 @@
             renewed = await self._store.renew()
             if isinstance(renewed, Err):
                 if not self._store.has_lease:
-                    self.holder.lose()
+                    self.holder.end_tenure()
                     self._notes.note_released("the lease lapsed")
                 continue
-            self.holder.renew(asked_at)
+            self.holder.on_lease_renewed(asked_at)
 
     async def _hold(self) -> None:
         self._repeat_plan()
@@ -235,7 +238,7 @@
         if isinstance(found, Err):
             return False
         plan, revision = found.ok_value
-        self.holder.read_plan(plan, revision)
+        self.holder.apply_stored_plan(plan, revision)
         self._publish_plan()
         return True
 
@@ -250,22 +253,22 @@
         for plan in found.ok_value:
             self._fleet.take_plan(plan)
 
-    async def _swap(self, proposal: Proposal) -> None:
+    async def _swap(self, proposal: PlanProposal) -> None:
         if not self.holder.may_change(self._now):
             return
-        written = await self._store.swap_plan(proposal.plan, proposal.expected)
+        written = await self._store.swap_plan(proposal.plan, proposal.expected_revision)
         if isinstance(written, Err):
             _log.warning(
                 "plan-not-swapped", domain=self.domain, fault=written.err_value.value
             )
-            self.holder.doubt_plan()
+            self.holder.invalidate_plan()
             return
-        self.holder.swapped(proposal, written.ok_value)
+        self.holder.on_plan_swapped(proposal, written.ok_value)
         self._notes.note_changes(proposal.plan, proposal.changes)
         self._publish_plan()
 
     def _send_orders(self) -> None:
-        for order in self.holder.due_orders(self._now):
+        for order in self.holder.collect_due_orders(self._now):
             address = self._addresses.get(order.vm)
             if address is not None:
                 self._engines.order(order, address, self._may_send, self._note_sent)
@@ -277,10 +280,10 @@
         self._notes.note_order(order, status)
 
     def _take_report(self, report: EngineReport, asked_at: float) -> None:
-        self.holder.note_report(report, asked_at)
+        self.holder.on_report(report, asked_at)
 
     def _miss_report(self, vm: VmId) -> None:
-        self.holder.note_silence(vm, self._now)
+        self.holder.on_no_answer(vm, self._now)
 
     def _repeat_plan(self) -> None:
         if self._now >= self._published.plan_at + _PLAN_AGAIN_S:
@@ -302,9 +305,9 @@
     def _publish_beat(self, *, ends: bool = False) -> None:
         now = self._now
         self._published.beat_at = now
-        beat = make_beat(
+        beat = make_heartbeat(
             self.holder.plan,
-            self.holder.seen(),
+            self.holder.get_timed_reports(),
             self._source,
             now,
             holds=self._store.has_lease,
@@ -315,22 +318,22 @@
             Topic.GROUPS,
             f"{BEAT_PREFIX}{self.domain}/{self._frame.node}",
             self._frame.incarnation * _MS + self._published.version,
-            encode_beat(beat),
+            encode_heartbeat(beat),
             self._settings.report_stale_s * 2,
         )
 
 
 def _make_limits(settings: ControlSettings) -> HolderLimits:
     return HolderLimits(
-        TenureLimits(settings.lease_s, order_s=settings.order_s),
+        LeaseTenureLimits(settings.lease_s, max_order_s=settings.order_s),
         TrackingLimits(settings.vm_absent_s, settings.vm_settle_s),
         settings.report_stale_s,
-        tell_s=settings.beat_s + _SPREAD_S,
+        propagation_s=settings.beat_s + _SPREAD_S,
     )
 
 
-def _make_succession(settings: ControlSettings) -> SuccessionLimits:
-    return SuccessionLimits(
+def _make_succession(settings: ControlSettings) -> FailoverLimits:
+    return FailoverLimits(
         witness_after_s=settings.beat_s + settings.report_stale_s * _WITNESS_PART,
-        take_after_s=settings.lease_s,
+        acquire_after_s=settings.lease_s,
     )
--- a/src/zinniaspool/control/fleet.py
+++ b/src/zinniaspool/control/fleet.py
@@ -6,12 +6,12 @@
 import msgspec
 
 from zinniaspool.core.deployment import Configuration
-from zinniaspool.core.groups import EvidenceBook, FleetKnowledge
+from zinniaspool.core.groups import EvidenceTable, OtherDomainsView
 from zinniaspool.core.groups.beats import (
     BEAT_PREFIX,
     PLAN_PREFIX,
-    DomainBeat,
-    decode_beat,
+    DomainHeartbeat,
+    decode_heartbeat,
     decode_plan,
 )
 from zinniaspool.core.ids import FabricDomainId, ModelName
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, stale_after_s: float) -> None:
-        self._evidence = EvidenceBook(stale_after_s)
+        self._evidence = EvidenceTable(stale_after_s)
         self._configuration: Configuration | None = None
 
     @property
@@ -46,30 +46,30 @@
 
     def take_plan(self, plan: DomainPlan) -> None:
         """Take a plan, unless a newer one is known."""
-        self._evidence.take_plan(plan)
+        self._evidence.apply_plan(plan)
 
-    def take_notice(self, notice: Notice) -> DomainBeat | None:
+    def take_notice(self, notice: Notice) -> DomainHeartbeat | None:
         """Take a plan or a beat, and return the beat."""
         try:
             if notice.key.startswith(PLAN_PREFIX):
                 self.take_plan(decode_plan(notice.payload))
             if not notice.key.startswith(BEAT_PREFIX):
                 return None
-            beat = decode_beat(notice.payload)
+            beat = decode_heartbeat(notice.payload)
         except (msgspec.MsgspecError, UnicodeDecodeError):
             return None
         now = asyncio.get_running_loop().time()
-        self._evidence.take_beat(beat, notice.age_s, now)
+        self._evidence.apply_heartbeat(beat, notice.age_s, now)
         return beat
 
-    def knowledge(self, domain: FabricDomainId) -> FleetKnowledge:
+    def knowledge(self, domain: FabricDomainId) -> OtherDomainsView:
         """Return what the holder of a domain has to know of the others."""
         now = asyncio.get_running_loop().time()
         plans = {name: plan for name, plan in self.plans.items() if name != domain}
         ready = frozenset(
             serving.group.id for serving in self._evidence.find_serving(now)
         )
-        return FleetKnowledge(plans, ready, self._find_peaks())
+        return OtherDomainsView(plans, ready, self._find_peaks())
 
     def _find_peaks(self) -> frozenset[ModelName]:
         if self._configuration is None:
--- a/src/zinniaspool/control/notes.py
+++ b/src/zinniaspool/control/notes.py
@@ -66,18 +66,18 @@
     def note_step(self, holder: Holder) -> None:
         """Record new waits, idle VMs and shortfalls of the last step."""
         groups = {f"group:{group.id}": group for group in holder.plan.groups}
-        for change in holder.take_news():
+        for change in holder.pop_new_waits():
             self._note_change(change, groups)
-        idle = {found.vm: found.reason for found in holder.idle}
+        idle = {found.vm: found.reason for found in holder.idle_vms}
         for vm, reason in idle.items():
             if self._idle.get(vm) is not reason:
                 owner = self._owner(vm)
                 subjects = (f"vm:{vm}",)
                 self._decide(DecisionKind.VM_IDLE, subjects, reason.value, owner)
         self._idle = idle
-        if holder.last_step is None:
+        if holder.last_result is None:
             return
-        found = holder.last_step.shortfalls
+        found = holder.last_result.shortfalls
         shortfalls = frozenset((f"model:{s.model}", s.reason) for s in found)
         for subject, reason_text in sorted(shortfalls - self._shortfalls):
             customers = self._customers_of_model(subject.removeprefix("model:"))
@@ -138,7 +138,7 @@
             customer
             for model in self._index.models.values()
             if model.name == name
-            for customer in self._index.customers(model)
+            for customer in self._index.get_customers(model)
         )
 
     def _decide(
--- a/src/zinniaspool/core/groups/__init__.py
+++ b/src/zinniaspool/core/groups/__init__.py
@@ -1,4 +1,4 @@
-"""Replica groups: what to form, what to order, what may serve."""
+"""Replica groups: planning, repair, orders to engines, and serving groups."""
 
 from zinniaspool.core.groups.allocation import (
     Allocation,
@@ -7,41 +7,41 @@
     ShortfallKind,
     Withdrawal,
     allocate_fleet,
-    is_kept,
+    counts_for_model,
 )
 from zinniaspool.core.groups.evidence import (
     DomainEvidence,
-    EvidenceBook,
+    EvidenceTable,
     GroupEvidence,
     ServingGroup,
 )
 from zinniaspool.core.groups.holder import (
-    FleetKnowledge,
     Holder,
     HolderLimits,
-    Proposal,
+    OtherDomainsView,
+    PlanProposal,
 )
 from zinniaspool.core.groups.index import FleetIndex
 from zinniaspool.core.groups.inputs import DomainInput, count_serving
-from zinniaspool.core.groups.loads import Load, LoadQueue
+from zinniaspool.core.groups.loads import WeightLoad, WeightLoadQueue
 from zinniaspool.core.groups.orders import decide_orders
 from zinniaspool.core.groups.planner import plan_domain
 from zinniaspool.core.groups.repair import (
     BrokenGroup,
-    ExpectedCost,
+    ExpectedCostPolicy,
     RepairChoice,
     RepairDecision,
-    RepairMeans,
+    RepairOptions,
     RepairPolicy,
     ReturnModel,
 )
-from zinniaspool.core.groups.serving import SeenReport, find_serving
+from zinniaspool.core.groups.serving import TimedReport, find_serving
 from zinniaspool.core.groups.views import (
     ChangeKind,
     IdleReason,
     IdleVm,
     PlanChange,
-    PlanStep,
+    PlanningResult,
     VmCondition,
     VmView,
 )
@@ -52,27 +52,27 @@
     "ChangeKind",
     "DomainEvidence",
     "DomainInput",
-    "EvidenceBook",
-    "ExpectedCost",
+    "EvidenceTable",
+    "ExpectedCostPolicy",
     "FleetIndex",
-    "FleetKnowledge",
+    "OtherDomainsView",
     "GroupEvidence",
     "Holder",
     "HolderLimits",
     "IdleReason",
     "IdleVm",
-    "Load",
-    "LoadQueue",
+    "WeightLoad",
+    "WeightLoadQueue",
     "Placement",
     "PlanChange",
-    "PlanStep",
-    "Proposal",
+    "PlanningResult",
+    "PlanProposal",
     "RepairChoice",
     "RepairDecision",
-    "RepairMeans",
+    "RepairOptions",
     "RepairPolicy",
     "ReturnModel",
-    "SeenReport",
+    "TimedReport",
     "ServingGroup",
     "Shortfall",
     "ShortfallKind",
@@ -83,6 +83,6 @@
     "count_serving",
     "decide_orders",
     "find_serving",
-    "is_kept",
+    "counts_for_model",
     "plan_domain",
 ]
--- a/src/zinniaspool/core/groups/accounting.py
+++ b/src/zinniaspool/core/groups/accounting.py
@@ -1,4 +1,4 @@
-"""The two measures so far: group downtime and stranded accelerators."""
+"""Measures of repair: group downtime and stranded accelerators over time."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -8,9 +8,9 @@
 from zinniaspool.core.ids import GroupId, VmId
 from zinniaspool.core.plans import DomainPlan, GroupStage
 
-__all__ = ["STRANDED", "Measures", "RepairMeter"]
+__all__ = ["STRANDED_REASONS", "Measures", "RepairMeter"]
 
-STRANDED = frozenset(
+STRANDED_REASONS = frozenset(
     {
         IdleReason.WAITING_FOR_MEMBER,
         IdleReason.TOO_FEW,
@@ -18,7 +18,7 @@
         IdleReason.SETTLING,
     }
 )
-"""Reasons for which a healthy VM is idle because no group can form."""
+"""Reasons why a healthy VM is idle because no whole group can use it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,10 +26,11 @@
     """Both measures at one moment and summed since the start.
 
     Attributes:
-        groups_down: Planned groups that do not serve.
-        accelerators_stranded: Healthy and idle for want of a whole group.
-        downtime_s: Group seconds so far.
-        stranded_s: Accelerator seconds so far.
+        groups_down: Number of planned groups that do not serve now.
+        accelerators_stranded: Number of accelerators on healthy VMs that are
+            idle because no whole group can use them now.
+        downtime_s: Seconds of downtime so far, summed over the groups.
+        stranded_s: Seconds of stranding so far, summed over the accelerators.
     """
 
     groups_down: int = 0
@@ -43,7 +44,7 @@
 
     def __init__(self) -> None:
         self.measures = Measures()
-        self._at: float | None = None
+        self._observed_at: float | None = None
 
     def observe(
         self,
@@ -53,9 +54,19 @@
         idle: Iterable[IdleVm],
         vms: Mapping[VmId, Vm],
     ) -> Measures:
-        """Take the state from now on, and return the sums until now."""
-        elapsed = 0.0 if self._at is None else now - self._at
-        self._at = now
+        """Record the current state, and return the sums until now.
+
+        The state that was recorded last is taken to have lasted until now.
+
+        Args:
+            now: Time in seconds, on any monotonic clock.
+            plan: The domain's plan.
+            ready: The groups that serve.
+            idle: The domain's idle VMs.
+            vms: All VMs of the configuration.
+        """
+        elapsed = 0.0 if self._observed_at is None else now - self._observed_at
+        self._observed_at = now
         last = self.measures
         self.measures = Measures(
             sum(
@@ -63,9 +74,9 @@
                 for group in plan.groups
             ),
             sum(
-                vms[found.vm].accelerators
-                for found in idle
-                if found.reason in STRANDED and found.vm in vms
+                vms[idle_vm.vm].accelerators
+                for idle_vm in idle
+                if idle_vm.reason in STRANDED_REASONS and idle_vm.vm in vms
             ),
             last.downtime_s + last.groups_down * elapsed,
             last.stranded_s + last.accelerators_stranded * elapsed,
--- a/src/zinniaspool/core/groups/allocation.py
+++ b/src/zinniaspool/core/groups/allocation.py
@@ -1,12 +1,12 @@
-"""Which groups each fabric domain should have, over the whole fleet.
-
-Every control process works this out for itself from the accepted
-configuration and the plans of all domains as the store has them, and changes
-only the plans of the domains that it holds. The steps are deterministic, so
-processes that see the same plans agree on each domain's share without asking
-each other. Processes that see different plans for a moment may form one group
-too many; the surplus is found by the same steps on every process, names one
-group, and so is taken back by one holder alone.
+"""Allocation of replica groups to fabric domains over the whole fleet.
+
+Every control process computes the allocation from the accepted configuration
+and the stored plans of all domains, and changes only the plans of the domains
+that it holds. The computation is deterministic, so processes that see the
+same plans agree on each domain's part without a message between them.
+Processes that see different plans for a moment may form one group too many;
+the same computation then finds the same surplus group on every process, so
+only the holder of that group's domain drains it.
 """
 
 from collections import Counter
@@ -33,12 +33,14 @@
     "ShortfallKind",
     "Withdrawal",
     "allocate_fleet",
-    "is_kept",
+    "counts_for_model",
 ]
 
-_KEPT_CAUSES = (None, DrainCause.ROLLOUT, DrainCause.REPLACE)
-_UNEVEN = 2
-"""A difference in groups between failure domains that is worth a move."""
+_COUNTING_CAUSES = (None, DrainCause.ROLLOUT, DrainCause.REPLACE)
+"""A group that is drained for another cause no longer counts for its model."""
+_MIN_IMBALANCE = 2
+"""Difference in groups between two failure domains that justifies forming a
+group in the emptier one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,15 +48,15 @@
     """A group to form.
 
     Attributes:
-        model: What it runs.
-        domain: Where.
-        owners: How many VMs of each owner it takes.
-        reason: For a person.
+        model: The model that the group runs.
+        domain: The fabric domain that the group is formed in.
+        vms_by_owner: How many VMs of each owner it uses.
+        reason: Explanation for operators.
     """
 
     model: ModelName
     domain: FabricDomainId
-    owners: tuple[tuple[CustomerId, int], ...]
+    vms_by_owner: tuple[tuple[CustomerId, int], ...]
     reason: str
 
 
@@ -69,24 +71,26 @@
 
 
 class ShortfallKind(Enum):
-    """What a model lacks."""
+    """The requirement of a model that the fleet can't meet."""
 
     GUARANTEE = "guarantee"
-    """It has fewer groups than it is guaranteed."""
+    """The model has fewer groups than it is guaranteed."""
 
     SPREAD = "spread"
-    """The loss of one failure domain would take it below its guarantee."""
+    """The loss of one failure domain would leave the model fewer groups than
+    it is guaranteed."""
 
     ROLLOUT = "rollout"
-    """Its new version cannot be loaded without breaking its guarantee."""
+    """The model's new version cannot be loaded without breaking its
+    guarantee."""
 
     WANTED = "wanted"
-    """It has its guarantee and fewer groups than it could use."""
+    """The model has its guaranteed groups, but fewer than it wants."""
 
 
 @dataclass(frozen=True, slots=True)
 class Shortfall:
-    """Something that the fleet has no room for."""
+    """A requirement of a model that the fleet has no room for."""
 
     model: ModelName
     kind: ShortfallKind
@@ -95,24 +99,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Allocation:
-    """What has to change over the fleet.
+    """The changes that the whole fleet needs.
 
     Attributes:
         placements: Groups to form, the most urgent first.
         withdrawals: Groups to drain.
-        shortfalls: What there is no room for.
-        steps: Candidates looked at, to keep the cost honest.
+        shortfalls: Requirements that the fleet has no room for.
+        candidates_checked: How many VMs, domains and groups the computation
+            examined; a measure of its cost.
     """
 
     placements: tuple[Placement, ...]
     withdrawals: tuple[Withdrawal, ...]
     shortfalls: tuple[Shortfall, ...]
-    steps: int
+    candidates_checked: int
 
 
-def is_kept(group: GroupPlan) -> bool:
-    """Whether a group counts as its model's, now or after its change."""
-    return group.stage is not GroupStage.RELEASING and group.cause in _KEPT_CAUSES
+def counts_for_model(group: GroupPlan) -> bool:
+    """Whether a group counts for its model, now or after a planned change."""
+    return group.stage is not GroupStage.RELEASING and group.cause in _COUNTING_CAUSES
 
 
 def allocate_fleet(
@@ -120,38 +125,46 @@
 ) -> Allocation:
     """Return the groups to form and to drain, over all domains.
 
-    Guarantees come first, and may take VMs from groups that their models
-    are not guaranteed; the rest goes by weight. Groups that stand stay where
-    they are.
+    Guaranteed groups are placed first, and may use VMs of groups beyond
+    another model's guarantee. The remaining VMs are shared by the models'
+    weights. Existing groups stay in their domains.
 
     Args:
-        index: The configuration.
-        plans: The newest plan known of each domain; absent ones are empty.
+        index: The indexed configuration.
+        plans: The newest known plan of each domain; a domain without one
+            has no groups.
     """
-    spread = _fill(index, plans, spreading=True)
-    if spread.lacking == (0, 0):
-        return spread.result()
-    # Spreading can leave holes that are each too small for a group; packing
-    # tightly may find the room.
-    packed = _fill(index, plans, spreading=False)
-    best = min(spread, packed, key=lambda work: work.lacking)
-    return best.result()
+    spreading = _run_allocator(index, plans, spreading=True)
+    if spreading.missing_groups == (0, 0):
+        return spreading.build_allocation()
+    # Spreading groups over the domains can leave remainders that are each
+    # too small for a group; tight packing may find room for all groups.
+    packing = _run_allocator(index, plans, spreading=False)
+    best = min(spreading, packing, key=lambda allocator: allocator.missing_groups)
+    return best.build_allocation()
 
 
-def _fill(
+def _run_allocator(
     index: FleetIndex, plans: Mapping[FabricDomainId, DomainPlan], *, spreading: bool
-) -> "_Work":
-    work = _Work(index, plans, spreading)
-    work.fill_guarantees()
-    work.fill_wanted()
-    work.make_room_for_rollout()
-    work.even_out()
-    work.find_surplus()
-    return work
+) -> "_Allocator":
+    allocator = _Allocator(index, plans, spreading)
+    allocator.fill_guarantees()
+    allocator.fill_wanted()
+    allocator.make_room_for_rollout()
+    allocator.rebalance()
+    allocator.drain_surplus()
+    return allocator
 
 
-class _Work:
-    """One run over the fleet; counts by owner instead of single VMs."""
+class _Allocator:
+    """One computation over the fleet; counts VMs by owner, not singly.
+
+    Args:
+        index: The indexed configuration.
+        plans: The newest known plan of each domain.
+        spreading: Whether groups are spread over the failure domains
+            instead of packed tightly.
+    """
 
     def __init__(
         self,
@@ -161,62 +174,64 @@
     ) -> None:
         self._index = index
         self._spreading = spreading
-        self._free: dict[FabricDomainId, Counter[CustomerId]] = {}
-        self._kept: dict[FabricDomainId, list[GroupPlan]] = {}
-        self._out: set[VmId] = set()
-        self._have: Counter[ModelName] = Counter()
-        self._spread: Counter[tuple[ModelName, FailureDomainId]] = Counter()
+        self._free_vms: dict[FabricDomainId, Counter[CustomerId]] = {}
+        self._kept_groups: dict[FabricDomainId, list[GroupPlan]] = {}
+        self._out_vms: set[VmId] = set()
+        self._group_counts: Counter[ModelName] = Counter()
+        self._spread_counts: Counter[tuple[ModelName, FailureDomainId]] = Counter()
         self._placements: list[Placement] = []
         self._withdrawals: list[Withdrawal] = []
         self._shortfalls: list[Shortfall] = []
-        self._steps = 0
+        self._candidates_checked = 0
         for domain in index.domains:
-            self._read_domain(domain, plans.get(domain, DomainPlan(domain)))
+            self._add_domain(domain, plans.get(domain, DomainPlan(domain)))
 
-    def _read_domain(self, domain: FabricDomainId, plan: DomainPlan) -> None:
+    def _add_domain(self, domain: FabricDomainId, plan: DomainPlan) -> None:
         kept = [
             group
             for group in plan.groups
-            if is_kept(group) and self._index.allows(group, domain)
+            if counts_for_model(group) and self._index.allows(group, domain)
         ]
-        taken = frozenset(vm for group in kept for vm in group.vms)
-        self._kept[domain] = kept
-        self._out.update(out.vm for out in plan.out)
-        self._free[domain] = self._index.count_free(domain, plan, taken)
-        self._steps += len(self._index.domains[domain])
+        used = frozenset(vm for group in kept for vm in group.vms)
+        self._kept_groups[domain] = kept
+        self._out_vms.update(out.vm for out in plan.out)
+        self._free_vms[domain] = self._index.count_free(domain, plan, used)
+        self._candidates_checked += len(self._index.domains[domain])
         for group in kept:
-            self._count(group.model, domain, 1)
+            self._change_count(group.model, domain, 1)
 
     @property
-    def lacking(self) -> tuple[int, int]:
-        """How many guaranteed and wanted groups there is no room for."""
-        have = [(model, self._have[model.name]) for model in self._models()]
+    def missing_groups(self) -> tuple[int, int]:
+        """How many guaranteed and how many wanted groups are not placed."""
+        counts = [
+            (model, self._group_counts[model.name]) for model in self._list_models()
+        ]
         return (
-            sum(max(0, model.guaranteed_groups - count) for model, count in have),
-            sum(max(0, model.wanted_groups - count) for model, count in have),
+            sum(max(0, model.guaranteed_groups - count) for model, count in counts),
+            sum(max(0, model.wanted_groups - count) for model, count in counts),
         )
 
-    def result(self) -> Allocation:
-        """Return what was found."""
+    def build_allocation(self) -> Allocation:
+        """Return the placements, withdrawals and shortfalls found so far."""
         self._find_spread_shortfalls()
         return Allocation(
             tuple(self._placements),
             tuple(self._withdrawals),
             tuple(self._shortfalls),
-            self._steps,
+            self._candidates_checked,
         )
 
     def fill_guarantees(self) -> None:
-        """Place guaranteed groups, the hardest to place first."""
-        for model in sorted(self._models(), key=self._rank_hardest):
-            while self._have[model.name] < model.guaranteed_groups:
+        """Place the guaranteed groups, those of the most VMs first."""
+        for model in sorted(self._list_models(), key=self._rank_by_difficulty):
+            while self._group_counts[model.name] < model.guaranteed_groups:
                 reason = (
                     f"guaranteed {model.guaranteed_groups} groups,"
-                    f" has {self._have[model.name]}"
+                    f" has {self._group_counts[model.name]}"
                 )
                 if self._place(model, reason):
                     continue
-                if not self._take_for(model):
+                if not self._drain_for(model):
                     self._shortfalls.append(
                         Shortfall(
                             model.name,
@@ -228,61 +243,69 @@
                     break
 
     def fill_wanted(self) -> None:
-        """Share what is left by weight."""
+        """Share the remaining VMs between the models by weight."""
         open_models = [
             model
-            for model in self._models()
-            if model.guaranteed_groups <= self._have[model.name] < model.wanted_groups
+            for model in self._list_models()
+            if model.guaranteed_groups
+            <= self._group_counts[model.name]
+            < model.wanted_groups
         ]
         while open_models:
             model = min(open_models, key=self._rank_share)
-            reason = f"wants {model.wanted_groups} groups, has {self._have[model.name]}"
+            reason = (
+                f"wants {model.wanted_groups} groups,"
+                f" has {self._group_counts[model.name]}"
+            )
             if not self._place(model, reason):
                 self._shortfalls.append(
                     Shortfall(model.name, ShortfallKind.WANTED, reason)
                 )
                 open_models.remove(model)
-            elif self._have[model.name] >= model.wanted_groups:
+            elif self._group_counts[model.name] >= model.wanted_groups:
                 open_models.remove(model)
 
-    def even_out(self) -> None:
-        """Form a group elsewhere first where a model leans on one domain.
+    def rebalance(self) -> None:
+        """Spread the groups of models that depend on one failure domain.
 
-        The group that it makes superfluous is drained as surplus once the
-        new one serves, so the move costs no group. A difference of two makes
-        it worthwhile and leaves at most one, so it ends.
+        Where the loss of the fullest failure domain would break a guarantee,
+        a group is formed in an emptier failure domain first. The group that
+        this makes superfluous is drained as surplus once the new one serves,
+        so the number of serving groups never falls. Rebalancing requires a
+        difference of two groups and leaves at most one, so it terminates.
         """
-        for model in self._models():
+        for model in self._list_models():
             if not model.guaranteed_groups:
                 continue
-            if self._have[model.name] != model.wanted_groups:
+            if self._group_counts[model.name] != model.wanted_groups:
                 continue
-            most, largest = self._find_fullest(model)
-            if self._have[model.name] - largest >= model.guaranteed_groups:
+            fullest, largest = self._find_fullest(model)
+            if self._group_counts[model.name] - largest >= model.guaranteed_groups:
                 continue
             self._place(
                 model,
-                f"{largest} of {self._have[model.name]} groups are in failure"
-                f" domain {most}",
-                largest - _UNEVEN,
+                f"{largest} of {self._group_counts[model.name]} groups are in failure"
+                f" domain {fullest}",
+                largest - _MIN_IMBALANCE,
             )
 
     def make_room_for_rollout(self) -> None:
-        """Form a group of the new version first where none can be spared.
+        """Form a group of the new version where no group can be spared.
 
-        A model that has no more groups than its guarantee would fall below
-        it while one of them loads the new version. The old group that the
-        new one replaces is drained as surplus once the new one serves.
+        A model with only its guaranteed groups would fall below its
+        guarantee while one of them loads the new version. A group of the new
+        version is therefore formed first, and the old group that it replaces
+        is drained as surplus once the new one serves.
         """
-        for model in self._models():
+        for model in self._list_models():
             if model.wanted_groups > model.guaranteed_groups:
                 continue
-            if self._have[model.name] != model.wanted_groups:
+            if self._group_counts[model.name] != model.wanted_groups:
                 continue
-            old = self._count_old(model)
-            if not old:
+            outdated = self._count_outdated(model)
+            if not outdated:
                 continue
-            reason = f"{old} groups are to load version {model.version}"
+            reason = f"{outdated} groups are to load version {model.version}"
             if not self._place(model, reason):
                 self._shortfalls.append(
                     Shortfall(
@@ -293,105 +316,129 @@
                     )
                 )
 
-    def _count_old(self, model: ModelRule) -> int:
+    def _count_outdated(self, model: ModelRule) -> int:
         return sum(
             group.model == model.name and group.version != model.version
-            for groups in self._kept.values()
+            for groups in self._kept_groups.values()
             for group in groups
         )
 
-    def find_surplus(self) -> None:
-        """Drain groups beyond what is wanted: the fullest domain's newest."""
-        for model in self._models():
-            standing = self._have[model.name] - sum(
+    def drain_surplus(self) -> None:
+        """Drain groups beyond the wanted number.
+
+        Groups of an outdated version are drained first, then those in the
+        fullest failure domain, then the newest.
+        """
+        for model in self._list_models():
+            existing_groups = self._group_counts[model.name] - sum(
                 placement.model == model.name for placement in self._placements
             )
-            for _ in range(standing - model.wanted_groups):
-                domain, group = self._find_newest(model)
+            for _ in range(existing_groups - model.wanted_groups):
+                domain, group = self._find_most_superfluous(model)
                 self._withdraw(
                     domain,
                     group,
                     DrainCause.SURPLUS,
                     f"{model.wanted_groups} groups wanted,"
-                    f" {self._have[model.name]} there",
+                    f" {self._group_counts[model.name]} exist",
                 )
 
-    def _find_newest(self, model: ModelRule) -> tuple[FabricDomainId, GroupPlan]:
-        standing = [
+    def _find_most_superfluous(
+        self, model: ModelRule
+    ) -> tuple[FabricDomainId, GroupPlan]:
+        existing_groups = [
             (domain, group)
-            for domain, groups in self._kept.items()
+            for domain, groups in self._kept_groups.items()
             for group in groups
             if group.model == model.name
         ]
         return max(
-            standing,
+            existing_groups,
             key=lambda pair: (
                 pair[1].version != model.version,
-                self._spread[model.name, self._index.failure_domains[pair[0]]],
+                self._spread_counts[model.name, self._index.failure_domains[pair[0]]],
                 pair[1].epoch,
                 pair[1].id,
             ),
         )
 
     def _place(
-        self, model: ModelRule, reason: str, most_near: int | None = None
+        self, model: ModelRule, reason: str, max_in_failure_domain: int | None = None
     ) -> bool:
-        """Place a group, in a failure domain with at most ``most_near``."""
-        owners = self._index.owners(model.name)
+        """Place a group of a model; return whether a domain has room for it.
+
+        Args:
+            model: The model.
+            reason: Explanation for operators.
+            max_in_failure_domain: Largest number of the model's groups that
+                the failure domain may have already, or None for any number.
+        """
+        owners = self._index.get_owners(model.name)
         best: tuple[int, int, FabricDomainId] | None = None
-        for domain, free in self._free.items():
-            self._steps += 1
+        for domain, free in self._free_vms.items():
+            self._candidates_checked += 1
             usable = sum(free[owner] for owner in owners)
-            near = self._spread[model.name, self._index.failure_domains[domain]]
+            in_failure_domain = self._spread_counts[
+                model.name, self._index.failure_domains[domain]
+            ]
             if usable < model.vms_per_group:
                 continue
-            if most_near is not None and near > most_near:
+            if (
+                max_in_failure_domain is not None
+                and in_failure_domain > max_in_failure_domain
+            ):
                 continue
-            # Of domains that are equally good for the spread, a guaranteed
-            # group takes the fullest, which leaves large holes for other
-            # guarantees; any other takes the emptiest, which leaves each
-            # domain some spares.
-            tight = self._have[model.name] < model.guaranteed_groups
+            # Of domains that are equal for the spread, a guaranteed group
+            # uses the one with the fewest free VMs, which keeps large
+            # remainders for other guarantees; any other group uses the one
+            # with the most, which leaves each domain spares.
+            tight = self._group_counts[model.name] < model.guaranteed_groups
             fit = usable if tight or not self._spreading else -usable
-            key = (near if self._spreading else 0, fit, domain)
+            key = (in_failure_domain if self._spreading else 0, fit, domain)
             if best is None or key < best:
                 best = key
         if best is None:
             return False
         domain = best[2]
-        taken = self._take_owners(domain, owners, model.vms_per_group)
-        self._placements.append(Placement(model.name, domain, taken, reason))
-        self._count(model.name, domain, 1)
+        claimed = self._claim_vms(domain, owners, model.vms_per_group)
+        self._placements.append(Placement(model.name, domain, claimed, reason))
+        self._change_count(model.name, domain, 1)
         return True
 
-    def _take_owners(
+    def _claim_vms(
         self, domain: FabricDomainId, owners: frozenset[CustomerId], size: int
     ) -> tuple[tuple[CustomerId, int], ...]:
-        """Take VMs that the fewest models could use instead."""
-        free = self._free[domain]
-        taken = []
-        for owner in sorted(owners, key=lambda name: (self._index.demand[name], name)):
+        """Claim the VMs that the fewest other models could use."""
+        free = self._free_vms[domain]
+        claimed = []
+        for owner in sorted(
+            owners, key=lambda name: (self._index.model_counts_by_owner[name], name)
+        ):
             count = min(size, free[owner])
             if not count:
                 continue
             free[owner] -= count
             size -= count
-            taken.append((owner, count))
-        return tuple(taken)
+            claimed.append((owner, count))
+        return tuple(claimed)
+
+    def _drain_for(self, model: ModelRule) -> bool:
+        """Drain the fewest groups beyond other models' guarantees.
 
-    def _take_for(self, model: ModelRule) -> bool:
-        """Drain the fewest groups that are nobody's guarantee."""
+        Returns:
+            Whether a domain has enough such groups to make room.
+        """
         best: list[GroupPlan] | None = None
-        where = FabricDomainId("")
-        for domain in self._free:
+        best_domain = FabricDomainId("")
+        for domain in self._free_vms:
             victims = self._find_victims(model, domain)
             if victims and (best is None or len(victims) < len(best)):
-                best, where = victims, domain
+                best, best_domain = victims, domain
         if best is None:
             return False
         for group in best:
             self._withdraw(
-                where,
+                best_domain,
                 group,
                 DrainCause.REASSIGNED,
                 "another model lacks a guaranteed group",
@@ -401,26 +448,30 @@
     def _find_victims(
         self, model: ModelRule, domain: FabricDomainId
     ) -> list[GroupPlan]:
-        owners = self._index.owners(model.name)
-        usable = sum(self._free[domain][owner] for owner in owners)
-        beyond = Counter(
+        owners = self._index.get_owners(model.name)
+        usable = sum(self._free_vms[domain][owner] for owner in owners)
+        above_guarantee = Counter(
             {
-                other.name: self._have[other.name] - other.guaranteed_groups
-                for other in self._models()
+                other.name: self._group_counts[other.name] - other.guaranteed_groups
+                for other in self._list_models()
             }
         )
         victims = []
-        for group in sorted(self._kept[domain], key=self._rank_victim):
-            self._steps += 1
-            gained = sum(
-                vm not in self._out and self._index.vms[vm].owner in owners
+        for group in sorted(self._kept_groups[domain], key=self._rank_victim):
+            self._candidates_checked += 1
+            gained_vms = sum(
+                vm not in self._out_vms and self._index.vms[vm].owner in owners
                 for vm in group.vms
             )
-            if beyond[group.model] <= 0 or not gained or group.model == model.name:
+            if (
+                above_guarantee[group.model] <= 0
+                or not gained_vms
+                or group.model == model.name
+            ):
                 continue
-            beyond[group.model] -= 1
+            above_guarantee[group.model] -= 1
             victims.append(group)
-            usable += gained
+            usable += gained_vms
             if usable >= model.vms_per_group:
                 return victims
         return []
@@ -429,47 +480,51 @@
         self, domain: FabricDomainId, group: GroupPlan, cause: DrainCause, reason: str
     ) -> None:
         self._withdrawals.append(Withdrawal(group.id, domain, cause, reason))
-        self._kept[domain].remove(group)
-        self._count(group.model, domain, -1)
-        self._free[domain].update(
-            self._index.vms[vm].owner for vm in group.vms if vm not in self._out
+        self._kept_groups[domain].remove(group)
+        self._change_count(group.model, domain, -1)
+        self._free_vms[domain].update(
+            self._index.vms[vm].owner for vm in group.vms if vm not in self._out_vms
         )
 
     def _find_spread_shortfalls(self) -> None:
-        for model in self._models():
-            have = self._have[model.name]
-            if not model.guaranteed_groups or have < model.guaranteed_groups:
+        for model in self._list_models():
+            count = self._group_counts[model.name]
+            if not model.guaranteed_groups or count < model.guaranteed_groups:
                 continue
-            most, largest = self._find_fullest(model)
-            if have - largest < model.guaranteed_groups:
+            fullest, largest = self._find_fullest(model)
+            if count - largest < model.guaranteed_groups:
                 self._shortfalls.append(
                     Shortfall(
                         model.name,
                         ShortfallKind.SPREAD,
-                        f"the loss of failure domain {most} leaves"
-                        f" {have - largest} of {model.guaranteed_groups}"
+                        f"the loss of failure domain {fullest} leaves"
+                        f" {count - largest} of {model.guaranteed_groups}"
                         " guaranteed groups",
                     )
                 )
 
     def _find_fullest(self, model: ModelRule) -> tuple[FailureDomainId, int]:
         domains = sorted(set(self._index.failure_domains.values()))
-        fullest = max(domains, key=lambda name: (self._spread[model.name, name], name))
-        return fullest, self._spread[model.name, fullest]
+        fullest = max(
+            domains, key=lambda name: (self._spread_counts[model.name, name], name)
+        )
+        return fullest, self._spread_counts[model.name, fullest]
 
-    def _count(self, model: ModelName, domain: FabricDomainId, change: int) -> None:
-        self._have[model] += change
-        self._spread[model, self._index.failure_domains[domain]] += change
+    def _change_count(
+        self, model: ModelName, domain: FabricDomainId, change: int
+    ) -> None:
+        self._group_counts[model] += change
+        self._spread_counts[model, self._index.failure_domains[domain]] += change
 
-    def _models(self) -> tuple[ModelRule, ...]:
+    def _list_models(self) -> tuple[ModelRule, ...]:
         return self._index.configuration.rules.models
 
-    def _rank_hardest(self, model: ModelRule) -> tuple[int, int, ModelName]:
+    def _rank_by_difficulty(self, model: ModelRule) -> tuple[int, int, ModelName]:
         return (-model.vms_per_group, -model.weight, model.name)
 
     def _rank_share(self, model: ModelRule) -> tuple[float, ModelName]:
-        beyond = self._have[model.name] - model.guaranteed_groups
-        return ((beyond + 1) / model.weight, model.name)
+        above_guarantee = self._group_counts[model.name] - model.guaranteed_groups
+        return ((above_guarantee + 1) / model.weight, model.name)
 
     def _rank_victim(self, group: GroupPlan) -> tuple[int, int, GroupId]:
         return (self._index.models[group.model].weight, -group.epoch, group.id)
--- a/src/zinniaspool/core/groups/descriptions.py
+++ b/src/zinniaspool/core/groups/descriptions.py
@@ -1,4 +1,4 @@
-"""A domain's groups and VMs for operators."""
+"""Descriptions of a domain's groups and VMs for operators."""
 
 from dataclasses import dataclass, replace
 
@@ -28,7 +28,19 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupDescription:
-    """One group and whether it serves."""
+    """One group and whether it serves.
+
+    Attributes:
+        id: The group's ID.
+        model: The model that it runs.
+        version: The model's version.
+        customers: The customers whose requests it runs.
+        vms: Its members, the head first.
+        epoch: Its epoch.
+        stage: The planned stage.
+        serves: Whether it serves now.
+        absent: Its members that don't report.
+    """
 
     id: GroupId
     model: ModelName
@@ -43,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleDescription:
-    """A VM in no serving group and why."""
+    """A VM in no serving group and the reason."""
 
     vm: VmId
     owner: CustomerId
@@ -52,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShortfallDescription:
-    """What a model lacks."""
+    """A requirement of a model that the fleet has no room for."""
 
     model: ModelName
     customers: tuple[CustomerId, ...]
@@ -65,13 +77,14 @@
     """One fabric domain as the describing process sees it.
 
     Attributes:
-        domain: Which one.
-        holds: Whether the process holds its lease.
-        epoch: Of its plan.
-        groups: Its groups.
-        idle: Its VMs in no serving group.
-        shortfalls: What the fleet has no room for.
-        measures: Both measures since this process holds the domain.
+        domain: The fabric domain.
+        holds: Whether the process holds the domain's lease.
+        epoch: The epoch of the domain's plan.
+        groups: The domain's groups.
+        idle: The domain's VMs in no serving group.
+        shortfalls: Requirements of models that the fleet has no room for.
+        measures: Both measures of repair since this process holds the
+            domain.
     """
 
     domain: FabricDomainId
@@ -86,11 +99,18 @@
 def describe_groups(
     holder: Holder, index: FleetIndex | None, holds: bool, now: float
 ) -> DomainDescription:
-    """Return what a holder or witness knows of its domain."""
+    """Return the description of a domain by its holder or a witness.
+
+    Args:
+        holder: The state machine that plans the domain.
+        index: The indexed configuration, or None while there is none.
+        holds: Whether the process holds the domain's lease.
+        now: Seconds, on the holder's clock.
+    """
     ready = holder.find_ready(now)
-    views = holder.views(now)
-    absent = {vm for vm, view in views.items() if not view.reports}
-    shortfalls = holder.last_step.shortfalls if holder.last_step else ()
+    views = holder.get_vm_views(now)
+    absent = {vm for vm, view in views.items() if not view.is_reporting}
+    shortfalls = holder.last_result.shortfalls if holder.last_result else ()
     return DomainDescription(
         holder.domain,
         holds,
@@ -98,17 +118,17 @@
         tuple(_describe(group, ready, absent) for group in holder.plan.groups),
         tuple(
             IdleDescription(
-                found.vm,
-                index.vms[found.vm].owner,
-                found.reason.value,
+                idle_vm.vm,
+                index.vms[idle_vm.vm].owner,
+                idle_vm.reason.value,
             )
-            for found in holder.idle
-            if index is not None and found.vm in index.vms
+            for idle_vm in holder.idle_vms
+            if index is not None and idle_vm.vm in index.vms
         ),
         tuple(
             ShortfallDescription(
                 shortfall.model,
-                index.customers(index.models[shortfall.model]),
+                index.get_customers(index.models[shortfall.model]),
                 shortfall.kind.value,
                 shortfall.reason,
             )
@@ -122,11 +142,11 @@
 def restrict_domain(
     domain: DomainDescription, customer: CustomerId
 ) -> DomainDescription:
-    """Return what one customer's operators may see of a domain.
+    """Return the part of a description that a customer's operators may see.
 
-    Groups of the customer stay, without the names of those that share them,
-    and so do its own idle VMs and its models' shortfalls. The measures are
-    of all customers together and go.
+    It has the customer's groups without the names of the customers that
+    share them, the customer's own idle VMs, and the shortfalls of its
+    models. The measures are left out, since they cover all customers.
     """
     return replace(
         domain,
@@ -137,9 +157,9 @@
         ),
         idle=tuple(idle for idle in domain.idle if idle.owner == customer),
         shortfalls=tuple(
-            replace(lack, customers=(customer,))
-            for lack in domain.shortfalls
-            if customer in lack.customers
+            replace(shortfall, customers=(customer,))
+            for shortfall in domain.shortfalls
+            if customer in shortfall.customers
         ),
         measures=Measures(),
     )
--- a/src/zinniaspool/core/groups/holder.py
+++ b/src/zinniaspool/core/groups/holder.py
@@ -1,7 +1,8 @@
-"""The holder of one fabric domain, as a machine without input or output.
+"""The holder of one fabric domain, as a state machine without I/O.
 
-Its shell takes the lease, asks engines for reports and carries out what this
-machine proposes; the machine says at each moment what may be done.
+The process around it acquires the lease, polls the engines for reports, and
+carries out the plans and orders that the state machine proposes. The state
+machine decides at each moment what may be done.
 """
 
 from collections.abc import Collection, Mapping
@@ -11,18 +12,18 @@
 from zinniaspool.core.groups.accounting import RepairMeter
 from zinniaspool.core.groups.index import FleetIndex
 from zinniaspool.core.groups.inputs import DomainInput
-from zinniaspool.core.groups.loads import Load, LoadQueue
+from zinniaspool.core.groups.loads import WeightLoad, WeightLoadQueue
 from zinniaspool.core.groups.orders import decide_orders
 from zinniaspool.core.groups.planner import plan_domain
-from zinniaspool.core.groups.repair import ExpectedCost, RepairPolicy
-from zinniaspool.core.groups.serving import SeenReport, find_serving
-from zinniaspool.core.groups.tenure import Tenure, TenureLimits
+from zinniaspool.core.groups.repair import ExpectedCostPolicy, RepairPolicy
+from zinniaspool.core.groups.serving import TimedReport, find_serving
+from zinniaspool.core.groups.tenure import LeaseTenure, LeaseTenureLimits
 from zinniaspool.core.groups.tracking import TrackingLimits, VmTracker
 from zinniaspool.core.groups.views import (
     ChangeKind,
     IdleVm,
     PlanChange,
-    PlanStep,
+    PlanningResult,
     VmView,
 )
 from zinniaspool.core.ids import (
@@ -41,36 +42,38 @@
     OrderKind,
 )
 
-__all__ = ["FleetKnowledge", "Holder", "HolderLimits", "Proposal"]
+__all__ = ["OtherDomainsView", "Holder", "HolderLimits", "PlanProposal"]
 
 
 @dataclass(frozen=True, slots=True)
 class HolderLimits:
-    """Times that a holder goes by.
+    """Time limits of a holder.
 
     Attributes:
-        tenure: How its lease is used.
-        tracking: When a VM counts as what.
-        evidence_s: Age from which entry processes take a report for void.
-        review_s: Longest time between two looks at an unchanged state.
-        tell_s: Time in which entry processes hear that a group serves.
+        tenure: How the lease is used.
+        tracking: When the condition of a VM changes.
+        report_stale_s: Age above which entry processes ignore a report.
+        review_interval_s: Longest time between two planning passes over
+            unchanged inputs.
+        propagation_s: Time until all entry processes know that a group
+            serves.
     """
 
-    tenure: TenureLimits = TenureLimits()
+    tenure: LeaseTenureLimits = LeaseTenureLimits()
     tracking: TrackingLimits = TrackingLimits()
-    evidence_s: float = 2.0
-    review_s: float = 2.0
-    tell_s: float = 0.0
+    report_stale_s: float = 2.0
+    review_interval_s: float = 2.0
+    propagation_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class FleetKnowledge:
+class OtherDomainsView:
     """What is known of the other domains.
 
     Attributes:
-        plans: Their newest plans.
+        plans: The newest known plan of each.
         ready: Their groups that serve now.
-        peaks: Models whose announced peak is on or near.
+        peaks: Models whose announced peak is in progress or near.
     """
 
     plans: Mapping[FabricDomainId, DomainPlan] = field(default_factory=dict)
@@ -79,23 +82,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Proposal:
-    """A plan to swap in.
+class PlanProposal:
+    """A plan to write to the store by compare-and-swap.
 
     Attributes:
         plan: The next plan.
-        expected: The revision that it replaces.
-        changes: What it changes and why.
+        expected_revision: The stored revision that it replaces.
+        changes: The changes that it makes, with their reasons.
     """
 
     plan: DomainPlan
-    expected: Revision
+    expected_revision: Revision
     changes: tuple[PlanChange, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class _Key:
-    """What a step's outcome depends on, but for the passing of time."""
+class _InputKey:
+    """The inputs of a planning pass, except for the time.
+
+    While they are unchanged, a pass is repeated only after the review
+    interval.
+    """
 
     index: int
     plans: tuple[tuple[FabricDomainId, Epoch], ...]
@@ -106,13 +113,25 @@
 
 
 class Holder:
-    """Plans one fabric domain and orders its engines, while it may.
+    """Plans one fabric domain and decides the orders to its engines.
+
+    Plans and orders are returned only while the lease is valid and the
+    stored plan is known.
 
     Args:
         domain: The fabric domain.
-        limits: Times that it goes by.
-        policy: Chooses what to do about broken groups; by default by
+        limits: Time limits.
+        policy: Decides what to do about broken groups; by default by
             expected cost under the deployment's weights.
+
+    Attributes:
+        domain: The fabric domain.
+        plan: The newest known plan of the domain.
+        idle_vms: VMs in no serving group, by the last planning pass.
+        last_result: The result of the last planning pass.
+        meter: Sums the measures of repair.
+        candidates_checked: How many VMs, domains and groups all planning
+            passes examined so far; a measure of their cost.
     """
 
     def __init__(
@@ -123,259 +142,288 @@
     ) -> None:
         self.domain = domain
         self.plan = DomainPlan(domain)
-        self.idle: tuple[IdleVm, ...] = ()
-        self.last_step: PlanStep | None = None
+        self.idle_vms: tuple[IdleVm, ...] = ()
+        self.last_result: PlanningResult | None = None
         self.meter = RepairMeter()
-        self.steps = 0
+        self.candidates_checked = 0
         self._limits = limits
-        self._given_policy = policy
+        self._fixed_policy = policy
         self._tracker = VmTracker(limits.tracking)
-        self._tenure: Tenure | None = None
+        self._tenure: LeaseTenure | None = None
         self._plan_revision = Revision(0)
-        self._plan_known = False
+        self._is_plan_known = False
         self._index: FleetIndex | None = None
-        self._loads = LoadQueue(1.0)
-        self._begun: dict[VmId, tuple[Epoch, str]] = {}
-        self._noted: dict[tuple[str, ...], ChangeKind] = {}
-        self._last_key: _Key | None = None
+        self._loads = WeightLoadQueue(1.0)
+        self._admitted_loads: dict[VmId, tuple[Epoch, str]] = {}
+        self._last_changes: dict[tuple[str, ...], ChangeKind] = {}
+        self._last_key: _InputKey | None = None
         self._reviewed_at = 0.0
         self._ready_since: dict[GroupId, float] = {}
 
     # Configuration
 
     def configure(self, index: FleetIndex, now: float) -> None:
-        """Take a newer configuration."""
+        """Apply a newer configuration."""
         self._index = index
         vms = index.domains.get(self.domain, ())
-        self._tracker.begin([vm.id for vm in vms], now)
+        self._tracker.track([vm.id for vm in vms], now)
         rate = index.configuration.rules.weight_store_gb_per_s
-        # Each domain keeps to its part of the store's rate, so that the
-        # whole is never exceeded, whoever holds which domain.
+        # Each domain uses only its share of the weight store's rate, so that
+        # the total never exceeds the rate, whichever process holds which
+        # domain.
         part = len(vms) / max(1, len(index.vms))
         if not vms or rate * part == self._loads.gb_per_s:
             return
-        self._loads = LoadQueue(rate * part)
+        self._loads = WeightLoadQueue(rate * part)
 
     @property
     def _policy(self) -> RepairPolicy:
-        if self._given_policy is not None:
-            return self._given_policy
+        if self._fixed_policy is not None:
+            return self._fixed_policy
         assert self._index is not None
-        return ExpectedCost(self._index.configuration.rules.repair)
+        return ExpectedCostPolicy(self._index.configuration.rules.repair)
 
     # Lease
 
-    def take(self, asked_at: float, taken_at: float) -> None:
-        """Begin a tenure; the plan has to be read before anything is done."""
+    def start_tenure(self, requested_at: float, granted_at: float) -> None:
+        """Start a tenure; the plan has to be read before any change.
+
+        Args:
+            requested_at: When the lease was requested.
+            granted_at: When the answer came.
+        """
         fencing = FencingSupport.IGNORED
         if self._index is not None:
             fencing = self._index.configuration.rules.fencing
-        self._tenure = Tenure(self._limits.tenure, asked_at, taken_at, fencing)
-        self._plan_known = False
+        self._tenure = LeaseTenure(
+            self._limits.tenure, requested_at, granted_at, fencing
+        )
+        self._is_plan_known = False
         self._last_key = None
-        self._begun.clear()
-        self._tracker.hear_again(self._tenure.orders_from)
+        self._admitted_loads.clear()
+        self._tracker.require_reports_since(self._tenure.orders_from)
 
-    def renew(self, asked_at: float) -> None:
-        """Note that the lease was renewed."""
+    def on_lease_renewed(self, requested_at: float) -> None:
+        """Extend the tenure; the renewal was requested at that time."""
         if self._tenure is not None:
-            self._tenure.renew(asked_at)
+            self._tenure.renew(requested_at)
 
-    def lose(self) -> None:
-        """Note that the lease is lost or given up."""
+    def end_tenure(self) -> None:
+        """End the tenure: the lease is lost or released."""
         if self._tenure is not None:
             self._tenure.end()
         self._tenure = None
-        self._plan_known = False
+        self._is_plan_known = False
 
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Whether this process may act on the domain now."""
         return self._tenure is not None and self._tenure.is_valid(now)
 
     def may_change(self, now: float) -> bool:
-        """Whether a swap or an order may be sent now.
+        """Whether a plan may be written or an order sent now.
 
-        To be asked right before each of them: the process may have been
-        stopped since it decided, and its lease given to another one.
+        The caller has to check this right before each of them: the process
+        may have been stopped since it decided, and its lease granted to
+        another process.
         """
         return (
             self._tenure is not None
             and self._tenure.may_order(now)
-            and self._plan_known
-            and self._tracker.all_heard()
+            and self._is_plan_known
+            and self._tracker.has_checked_all()
         )
 
-    def may_announce(self, now: float) -> bool:
-        """Whether what this holder sees may be passed on."""
-        return self.holds(now) and self._plan_known
+    def may_publish(self, now: float) -> bool:
+        """Whether this holder's plan and reports may be published."""
+        return self.holds_lease(now) and self._is_plan_known
 
     # Plan
 
     @property
     def needs_plan(self) -> bool:
-        """Whether the plan has to be read before anything is changed."""
-        return not self._plan_known
+        """Whether the stored plan has to be read before any change."""
+        return not self._is_plan_known
 
-    def read_plan(self, plan: DomainPlan, revision: Revision) -> None:
-        """Take the plan as the store has it."""
+    def apply_stored_plan(self, plan: DomainPlan, revision: Revision) -> None:
+        """Apply the plan and its revision as read from the store."""
         self.plan, self._plan_revision = plan, revision
-        self._plan_known = True
+        self._is_plan_known = True
         self._last_key = None
 
-    def doubt_plan(self) -> None:
-        """Note that a swap failed or has an unknown outcome.
+    def invalidate_plan(self) -> None:
+        """Require the plan to be read again.
 
-        What the store holds is then not known, and orders by either plan
-        could be wrong; nothing goes out until the plan is read again.
+        After a compare-and-swap that failed or has an unknown outcome, the
+        stored plan is not known, and orders by either plan could be wrong.
+        No order is sent until the plan is read again.
         """
-        self._plan_known = False
+        self._is_plan_known = False
 
     # Reports
 
-    def note_report(self, report: EngineReport, asked_at: float) -> None:
-        """Take an engine's report; ``asked_at`` is when it was asked for."""
-        self._tracker.note_report(report, asked_at)
+    def on_report(self, report: EngineReport, requested_at: float) -> None:
+        """Apply an engine's report that was requested at that time."""
+        self._tracker.on_report(report, requested_at)
 
-    def note_silence(self, vm: VmId, now: float) -> None:
-        """Note that a VM did not answer."""
-        self._tracker.note_silence(vm, now)
+    def on_no_answer(self, vm: VmId, now: float) -> None:
+        """Record that a VM did not answer a poll."""
+        self._tracker.on_no_answer(vm, now)
 
-    def note_leaving(self, leaving: Collection[VmId]) -> None:
-        """Take the VMs that the platform lists as leaving."""
-        self._tracker.note_leaving(leaving)
+    def set_leaving(self, leaving: Collection[VmId]) -> None:
+        """Set the VMs that the platform lists as leaving."""
+        self._tracker.set_leaving(leaving)
 
-    def views(self, now: float) -> dict[VmId, VmView]:
-        """Return the domain's VMs as they are seen now."""
-        return self._tracker.views(now)
+    def get_vm_views(self, now: float) -> dict[VmId, VmView]:
+        """Return the current view of each of the domain's VMs."""
+        return self._tracker.get_vm_views(now)
 
-    def seen(self) -> Mapping[VmId, SeenReport]:
-        """Return the newest reports with their times."""
-        return self._tracker.seen()
+    def get_timed_reports(self) -> Mapping[VmId, TimedReport]:
+        """Return the newest report of each VM with its time."""
+        return self._tracker.get_timed_reports()
 
     def find_ready(self, now: float) -> frozenset[GroupId]:
         """Return the domain's groups that serve now."""
         serving = find_serving(
-            self.plan.groups, self._tracker.seen(), now, self._limits.evidence_s
+            self.plan.groups,
+            self._tracker.get_timed_reports(),
+            now,
+            self._limits.report_stale_s,
         )
         return frozenset(group.id for group in serving)
 
-    # What to do
+    # Plans and orders to carry out
+
+    def propose(self, now: float, others: OtherDomainsView) -> PlanProposal | None:
+        """Return a plan to write, or None when no change is due or allowed.
 
-    def propose(self, now: float, fleet: FleetKnowledge) -> Proposal | None:
-        """Return a plan to swap in, or None when nothing is to be changed."""
+        Args:
+            now: Seconds, on this process's clock.
+            others: What is known of the other domains.
+        """
         if self._index is None or not self.may_change(now):
             return None
-        self._tracker.note_speeds(self.plan.groups, now)
+        self._tracker.update_stragglers(self.plan.groups, now)
         ready = self.find_ready(now)
-        self._note_ready(ready, now)
-        given = self._gather(now, fleet)
-        self.meter.observe(now, self.plan, ready, self.idle, self._index.vms)
-        key = _make_key(given)
-        if key == self._last_key and now < self._reviewed_at + self._limits.review_s:
+        self._update_ready(ready, now)
+        inputs = self._build_inputs(now, others)
+        self.meter.observe(now, self.plan, ready, self.idle_vms, self._index.vms)
+        key = _make_key(inputs)
+        if (
+            key == self._last_key
+            and now < self._reviewed_at + self._limits.review_interval_s
+        ):
             return None
-        step = plan_domain(given, self._policy, now)
+        result = plan_domain(inputs, self._policy, now)
         self._last_key, self._reviewed_at = key, now
-        self.last_step, self.idle = step, step.idle
-        self.steps += step.steps
-        if step.plan is self.plan:
+        self.last_result, self.idle_vms = result, result.idle_vms
+        self.candidates_checked += result.candidates_checked
+        if result.plan is self.plan:
             return None
-        return Proposal(step.plan, self._plan_revision, step.changes)
+        return PlanProposal(result.plan, self._plan_revision, result.changes)
+
+    def on_plan_swapped(self, proposal: PlanProposal, revision: Revision) -> None:
+        """Record that a proposed plan was written to the store."""
+        self.apply_stored_plan(proposal.plan, revision)
 
-    def swapped(self, proposal: Proposal, revision: Revision) -> None:
-        """Note that a proposed plan stands in the store."""
-        self.read_plan(proposal.plan, revision)
+    def pop_new_waits(self) -> tuple[PlanChange, ...]:
+        """Return the waits of the last planning pass that are new.
 
-    def take_news(self) -> tuple[PlanChange, ...]:
-        """Return the last step's waits that were not returned before."""
-        if self.last_step is None:
+        A wait is new when the previous change of the same subjects was not a
+        wait.
+        """
+        if self.last_result is None:
             return ()
-        news = []
-        for change in self.last_step.changes:
+        new_waits = []
+        for change in self.last_result.changes:
             waits = change.kind is ChangeKind.KEPT_WAITING
-            if waits and self._noted.get(change.subjects) is not change.kind:
-                news.append(change)
-            self._noted[change.subjects] = change.kind
-        return tuple(news)
+            if waits and self._last_changes.get(change.subjects) is not change.kind:
+                new_waits.append(change)
+            self._last_changes[change.subjects] = change.kind
+        return tuple(new_waits)
+
+    def collect_due_orders(self, now: float) -> list[Order]:
+        """Return the orders to send now.
 
-    def due_orders(self, now: float) -> list[Order]:
-        """Return the orders to send now, loads within the store's rate."""
+        Loads are admitted within the domain's share of the weight store's
+        rate; the other loads are returned by a later call.
+        """
         if self._index is None or not self.may_change(now):
             return []
-        due = decide_orders(self.plan, self._tracker.reports())
+        due = decide_orders(self.plan, self._tracker.get_reports())
         loads = {
             order.vm: order
             for order in due
-            if order.kind is OrderKind.LOAD and self._needs_weights(order)
+            if order.kind is OrderKind.LOAD and self._needs_admission(order)
         }
-        waiting = [self._describe_load(order) for order in loads.values()]
-        admitted = {load.name for load in self._loads.admit(waiting, now)}
+        waiting = [self._make_load(order) for order in loads.values()]
+        admitted = {load.vm for load in self._loads.admit(waiting, now)}
         for vm in admitted:
             order = loads[VmId(vm)]
-            self._begun[order.vm] = self._mark_load(order)
+            self._admitted_loads[order.vm] = self._identify_load(order)
         return [order for order in due if order.vm not in loads or order.vm in admitted]
 
-    def _needs_weights(self, order: Order) -> bool:
-        """Whether a load has yet to be let begin."""
-        if self._begun.get(order.vm) == self._mark_load(order):
+    def _needs_admission(self, order: Order) -> bool:
+        """Whether a load needs the weight store and is not admitted yet."""
+        if self._admitted_loads.get(order.vm) == self._identify_load(order):
             return False
-        report = self._tracker.reports()[order.vm]
-        holds = (report.model, report.version) == (order.model, order.version)
-        return not holds or report.state is EngineState.EMPTY
+        report = self._tracker.get_reports()[order.vm]
+        has_model = (report.model, report.version) == (order.model, order.version)
+        return not has_model or report.state is EngineState.EMPTY
 
-    def _mark_load(self, order: Order) -> tuple[Epoch, str]:
-        return order.epoch, self._tracker.reports()[order.vm].boot
+    def _identify_load(self, order: Order) -> tuple[Epoch, str]:
+        return order.epoch, self._tracker.get_reports()[order.vm].boot
 
-    def _describe_load(self, order: Order) -> Load:
+    def _make_load(self, order: Order) -> WeightLoad:
         assert self._index is not None
         model = self._index.models.get(order.model or ModelName(""))
         gb = model.weights_gb if model else 1.0
-        reports = self._tracker.reports()
+        reports = self._tracker.get_reports()
         missing = sum(
             vm not in reports or reports[vm].epoch != order.epoch
             for vm in order.members
         )
-        beyond = 0.0 if model and model.guaranteed_groups else 1.0
-        # The group that needs the fewest loads serves the soonest.
-        return Load((beyond, float(missing), float(order.epoch)), order.vm, gb)
+        priority = 0.0 if model and model.guaranteed_groups else 1.0
+        # A group that needs the fewest loads can serve the soonest.
+        return WeightLoad((priority, float(missing), float(order.epoch)), order.vm, gb)
 
-    def _note_ready(self, ready: frozenset[GroupId], now: float) -> None:
+    def _update_ready(self, ready: frozenset[GroupId], now: float) -> None:
         since = self._ready_since
         self._ready_since = {group: since.get(group, now) for group in ready}
 
-    def _find_told(self, now: float) -> frozenset[GroupId]:
-        latest = now - self._limits.tell_s
+    def _find_announced(self, now: float) -> frozenset[GroupId]:
+        latest = now - self._limits.propagation_s
         return frozenset(
             group for group, since in self._ready_since.items() if since <= latest
         )
 
-    def _gather(self, now: float, fleet: FleetKnowledge) -> DomainInput:
+    def _build_inputs(self, now: float, others: OtherDomainsView) -> DomainInput:
         assert self._index is not None
         return DomainInput(
             self._index,
-            {**fleet.plans, self.domain: self.plan},
+            {**others.plans, self.domain: self.plan},
             self.domain,
-            self._tracker.views(now),
-            fleet.ready | self.find_ready(now),
+            self._tracker.get_vm_views(now),
+            others.ready | self.find_ready(now),
             Epoch(self._plan_revision + 1),
-            fleet.peaks,
-            fleet.ready | self._find_told(now),
+            others.peaks,
+            others.ready | self._find_announced(now),
             self._loads.backlog_gb(now),
             self._loads.gb_per_s,
         )
 
 
-def _make_key(given: DomainInput) -> _Key:
-    return _Key(
-        id(given.index),
-        tuple(sorted((name, plan.epoch) for name, plan in given.plans.items())),
-        given.ready,
-        given.relied_on,
-        given.peaks,
-        tuple(_key_vm(name, view) for name, view in sorted(given.vms.items())),
+def _make_key(inputs: DomainInput) -> _InputKey:
+    return _InputKey(
+        id(inputs.index),
+        tuple(sorted((name, plan.epoch) for name, plan in inputs.plans.items())),
+        inputs.ready,
+        inputs.announced_ready,
+        inputs.peaks,
+        tuple(_make_vm_key(name, view) for name, view in sorted(inputs.vms.items())),
     )
 
 
-def _key_vm(
+def _make_vm_key(
     name: VmId, view: VmView
 ) -> tuple[VmId, str, str | None, str | None, int, bool]:
     report = view.report
--- a/src/zinniaspool/core/groups/index.py
+++ b/src/zinniaspool/core/groups/index.py
@@ -1,4 +1,4 @@
-"""A configuration, arranged for planning."""
+"""Index of a configuration, for planning."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -18,10 +18,15 @@
 
 
 class FleetIndex:
-    """What planning asks of a configuration, worked out once.
+    """Lookups that planning needs of a configuration, computed once.
 
     Args:
-        configuration: What the operators want.
+        configuration: The accepted configuration.
+
+    Attributes:
+        configuration: The accepted configuration.
+        models: The rule of each model.
+        vms: All VMs of the inventory.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -35,10 +40,10 @@
     @cached_property
     def domains(self) -> Mapping[FabricDomainId, tuple[Vm, ...]]:
         """The VMs of each fabric domain, both in order of their names."""
-        found: dict[FabricDomainId, list[Vm]] = {}
+        domains: dict[FabricDomainId, list[Vm]] = {}
         for vm in sorted(self.vms.values(), key=lambda vm: vm.id):
-            found.setdefault(vm.fabric_domain, []).append(vm)
-        return {name: tuple(found[name]) for name in sorted(found)}
+            domains.setdefault(vm.fabric_domain, []).append(vm)
+        return {name: tuple(domains[name]) for name in sorted(domains)}
 
     @cached_property
     def failure_domains(self) -> Mapping[FabricDomainId, FailureDomainId]:
@@ -46,28 +51,29 @@
         return {name: vms[0].failure_domain for name, vms in self.domains.items()}
 
     @cached_property
-    def demand(self) -> Counter[CustomerId]:
+    def model_counts_by_owner(self) -> Counter[CustomerId]:
         """How many models may run on each owner's VMs."""
         return Counter(owner for owners in self._owners.values() for owner in owners)
 
-    def owners(self, model: ModelName) -> frozenset[CustomerId]:
-        """Return the owners whose VMs all customers of a model may use."""
+    def get_owners(self, model: ModelName) -> frozenset[CustomerId]:
+        """Return the owners whose VMs every customer of a model may use."""
         return self._owners[model]
 
-    def customers(self, model: ModelRule) -> tuple[CustomerId, ...]:
+    def get_customers(self, model: ModelRule) -> tuple[CustomerId, ...]:
         """Return the customers of a model, sorted."""
         return tuple(sorted({share.customer for share in model.shares}))
 
     def allows(self, group: GroupPlan, domain: FabricDomainId) -> bool:
-        """Whether a group is still one that the configuration permits.
+        """Whether the configuration still permits a group in a domain.
 
         A group whose customers, size or VMs' owners no longer agree with the
-        rules would serve a customer on a rival's VM, so it has to end.
+        rules could run a customer's requests on a competitor's VM, so it has
+        to be drained.
         """
         model = self.models.get(group.model)
         if model is None or len(group.vms) != model.vms_per_group:
             return False
-        if group.customers != self.customers(model):
+        if group.customers != self.get_customers(model):
             return False
         owners = self._owners[group.model]
         return all(
@@ -78,20 +84,20 @@
         )
 
     def count_free(
-        self, domain: FabricDomainId, plan: DomainPlan, taken: frozenset[VmId]
+        self, domain: FabricDomainId, plan: DomainPlan, used: frozenset[VmId]
     ) -> Counter[CustomerId]:
         """Return how many VMs of each owner can join groups of a domain.
 
         Args:
-            domain: Which domain.
-            plan: Its plan; the VMs that are out are not counted.
-            taken: VMs of groups that stay.
+            domain: The fabric domain.
+            plan: The domain's plan; VMs that it lists as out don't count.
+            used: VMs of groups that stay; they don't count either.
         """
         out = {vm.vm for vm in plan.out}
         return Counter(
             vm.owner
             for vm in self.domains[domain]
-            if vm.id not in taken and vm.id not in out
+            if vm.id not in used and vm.id not in out
         )
 
     def _find_owners(self, model: ModelRule) -> frozenset[CustomerId]:
--- a/src/zinniaspool/core/groups/inputs.py
+++ b/src/zinniaspool/core/groups/inputs.py
@@ -1,4 +1,4 @@
-"""Everything that a domain's next plan depends on."""
+"""The inputs of planning one fabric domain."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 
 __all__ = ["DomainInput", "count_serving"]
 
-_UNSEEN = VmView(VmCondition.ABSENT, 0.0)
+_NEVER_SEEN = VmView(VmCondition.ABSENT, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,17 +19,18 @@
     """Everything that a domain's next plan depends on.
 
     Attributes:
-        index: The accepted configuration.
-        plans: The newest plan known of every domain, this one's included.
+        index: The indexed accepted configuration.
+        plans: The newest known plan of every domain, including this one.
         domain: The domain to plan.
-        vms: Its VMs as its holder sees them.
-        ready: The groups of the fleet that serve now.
-        epoch: For the groups that this plan forms or changes.
-        peaks: Models whose announced peak is on or near.
-        told: Groups that entry processes have had time to hear of; None for
-            all that serve.
-        queued_gb: Weights that the domain's VMs are still to load.
-        load_gb_per_s: The domain's part of the weight store's rate.
+        vms: The domain's VMs as its holder sees them.
+        ready: The groups of the whole fleet that serve now.
+        epoch: The epoch of groups that this plan forms or changes.
+        peaks: Models whose announced peak is in progress or near.
+        announced: Groups whose heartbeats have had time to reach the entry
+            processes, or None if all ready groups count as announced.
+        queued_gb: Size of the weights that the domain's VMs have yet to
+            load.
+        load_gb_per_s: The domain's share of the weight store's rate.
     """
 
     index: FleetIndex
@@ -39,7 +40,7 @@
     ready: frozenset[GroupId]
     epoch: Epoch
     peaks: frozenset[ModelName] = field(default=frozenset())
-    told: frozenset[GroupId] | None = None
+    announced: frozenset[GroupId] | None = None
     queued_gb: float = 0.0
     load_gb_per_s: float = 10.0
 
@@ -49,18 +50,18 @@
         return self.plans.get(self.domain, DomainPlan(self.domain))
 
     @property
-    def relied_on(self) -> frozenset[GroupId]:
-        """The groups that may take over from one that is drained.
+    def announced_ready(self) -> frozenset[GroupId]:
+        """The serving groups that may replace a group that is drained.
 
-        A group that has just become ready is not known to entry processes
-        before the next beat. Were another one drained at that moment, their
-        callers would be refused though a group stands ready.
+        Entry processes learn of a group that has just become ready only with
+        the next heartbeat. If another group was drained before that, they
+        would refuse requests although a group is ready.
         """
-        return self.ready if self.told is None else self.ready & self.told
+        return self.ready if self.announced is None else self.ready & self.announced
 
-    def view(self, vm: VmId) -> VmView:
-        """Return what is seen of a VM; one never seen is absent."""
-        return self.vms.get(vm, _UNSEEN)
+    def get_view(self, vm: VmId) -> VmView:
+        """Return the view of a VM; a VM that never reported is absent."""
+        return self.vms.get(vm, _NEVER_SEEN)
 
 
 def count_serving(
--- a/src/zinniaspool/core/groups/moves.py
+++ b/src/zinniaspool/core/groups/moves.py
@@ -1,15 +1,15 @@
-"""Planned moves: rollouts, and VMs that leave or fall behind.
+"""Planned drains: for rollouts, and for VMs that leave or are slow.
 
-Moves of one model take turns over the whole fleet. Every process finds the
-same next one from the stored plans, so that two holders do not each take a
-group of the same model out at once.
+The groups of one model are drained one at a time over the whole fleet. Every
+process finds the same next group from the stored plans, so that two holders
+do not each drain a group of the same model at the same time.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
 from zinniaspool.core.deployment import ModelRule
-from zinniaspool.core.groups.allocation import is_kept
+from zinniaspool.core.groups.allocation import counts_for_model
 from zinniaspool.core.groups.inputs import DomainInput, count_serving
 from zinniaspool.core.ids import FabricDomainId
 from zinniaspool.core.plans import (
@@ -20,115 +20,129 @@
     GroupStage,
 )
 
-__all__ = ["PlannedMove", "find_move"]
+__all__ = ["PlannedDrain", "find_planned_drain"]
 
 
 @dataclass(frozen=True, slots=True)
-class PlannedMove:
-    """A group to drain so that it can be changed."""
+class PlannedDrain:
+    """A group to drain so that it can be changed.
+
+    Attributes:
+        group: The group.
+        cause: The cause, which decides what follows the drain.
+        reason: Explanation for operators.
+    """
 
     group: GroupPlan
     cause: DrainCause
     reason: str
 
 
-def find_move(
-    given: DomainInput, plans: Mapping[FabricDomainId, DomainPlan]
-) -> PlannedMove | None:
-    """Return the move that is this domain's to make now.
+def find_planned_drain(
+    inputs: DomainInput, plans: Mapping[FabricDomainId, DomainPlan]
+) -> PlannedDrain | None:
+    """Return the drain that this domain's holder has to start now, if any.
 
     Args:
-        given: What the domain's plan depends on.
-        plans: All domains' plans, with this step's changes.
+        inputs: The inputs of planning the domain.
+        plans: All domains' plans, including the changes of this planning
+            pass so far.
     """
-    leaving = _find_leaving(given, plans)
+    leaving = _find_leaving(inputs, plans)
     if leaving is not None:
         return leaving
-    for model in given.index.configuration.rules.models:
-        if model.name in given.peaks:
+    for model in inputs.index.configuration.rules.models:
+        if model.name in inputs.peaks:
             continue
-        move = _find_turn(given, plans, model)
-        if move is not None:
-            return move
+        drain = _find_next_drain(inputs, plans, model)
+        if drain is not None:
+            return drain
     return None
 
 
 def _find_leaving(
-    given: DomainInput, plans: Mapping[FabricDomainId, DomainPlan]
-) -> PlannedMove | None:
-    """Return a group whose VM leaves: it stops soon, out of turn or not."""
-    plan = plans[given.domain]
+    inputs: DomainInput, plans: Mapping[FabricDomainId, DomainPlan]
+) -> PlannedDrain | None:
+    """Return a group with a leaving VM.
+
+    It is drained out of turn, since the VM stops soon in any case.
+    """
+    plan = plans[inputs.domain]
     leaving = {out.vm for out in plan.out if out.reason is ExclusionReason.LEAVING}
     for group in plan.groups:
-        gone = [vm for vm in group.vms if vm in leaving]
-        if group.stage is GroupStage.SERVING and gone:
-            return PlannedMove(group, DrainCause.REPLACE, f"{','.join(gone)} leaves")
+        affected = [vm for vm in group.vms if vm in leaving]
+        if group.stage is GroupStage.SERVING and affected:
+            return PlannedDrain(
+                group, DrainCause.REPLACE, f"{','.join(affected)} leaves"
+            )
     return None
 
 
-def _find_turn(
-    given: DomainInput,
+def _find_next_drain(
+    inputs: DomainInput,
     plans: Mapping[FabricDomainId, DomainPlan],
     model: ModelRule,
-) -> PlannedMove | None:
+) -> PlannedDrain | None:
     groups = [
         (domain, group)
         for domain in sorted(plans)
         for group in plans[domain].groups
-        if group.model == model.name and is_kept(group)
+        if group.model == model.name and counts_for_model(group)
     ]
-    if _has_failed_rollout(given, model, [group for _, group in groups]):
+    if _has_failed_rollout(inputs, model, [group for _, group in groups]):
         return None
-    serving = count_serving(plans, given.relied_on)[model.name]
+    serving = count_serving(plans, inputs.announced_ready)[model.name]
     for domain, group in groups:
-        move = _find_cause(given, plans[domain], domain, model, group)
-        if move is None:
+        drain = _find_cause(inputs, plans[domain], domain, model, group)
+        if drain is None:
             continue
-        if domain != given.domain:
+        if domain != inputs.domain:
             return None
-        left = serving - (group.id in given.relied_on)
-        return move if left >= model.guaranteed_groups else None
+        remaining = serving - (group.id in inputs.announced_ready)
+        return drain if remaining >= model.guaranteed_groups else None
     return None
 
 
 def _has_failed_rollout(
-    given: DomainInput, model: ModelRule, groups: list[GroupPlan]
+    inputs: DomainInput, model: ModelRule, groups: list[GroupPlan]
 ) -> bool:
-    """Whether a group of the new version does not serve.
+    """Whether a group of the new version does not serve yet.
 
-    A version that fails to load would otherwise be rolled out to every group
-    in turn. Serving groups of the old version stay until the operators
-    accept another change.
+    Without this check a version that fails to load would be rolled out to
+    one group after the other. Serving groups of the old version stay until
+    the operators change the configuration again.
     """
     if all(group.version == model.version for group in groups):
         return False
     return any(
-        group.version == model.version and group.id not in given.ready
+        group.version == model.version and group.id not in inputs.ready
         for group in groups
     )
 
 
 def _find_cause(
-    given: DomainInput,
+    inputs: DomainInput,
     plan: DomainPlan,
     domain: FabricDomainId,
     model: ModelRule,
     group: GroupPlan,
-) -> PlannedMove | None:
-    # Where no group can be spared, a new one is formed first and the old one
-    # drained as surplus.
-    spared = model.guaranteed_groups < model.wanted_groups
-    if group.version != model.version and (spared or group.id not in given.ready):
+) -> PlannedDrain | None:
+    # Where no serving group can be spared, allocation forms a group of the
+    # new version first and drains the old one as surplus.
+    can_spare = model.guaranteed_groups < model.wanted_groups
+    if group.version != model.version and (can_spare or group.id not in inputs.ready):
         reason = f"version {group.version} becomes {model.version}"
-        return PlannedMove(group, DrainCause.ROLLOUT, reason)
+        return PlannedDrain(group, DrainCause.ROLLOUT, reason)
     slow = {out.vm for out in plan.out if out.reason is ExclusionReason.STRAGGLING}
-    gone = [vm for vm in group.vms if vm in slow]
-    if not gone:
+    affected = [vm for vm in group.vms if vm in slow]
+    if not affected:
         return None
-    taken = frozenset(vm for other in plan.groups if is_kept(other) for vm in other.vms)
-    free = given.index.count_free(domain, plan, taken)
-    usable = sum(free[owner] for owner in given.index.owners(model.name))
-    if usable < len(gone):
-        # A slow group is better than none.
+    used = frozenset(
+        vm for other in plan.groups if counts_for_model(other) for vm in other.vms
+    )
+    free = inputs.index.count_free(domain, plan, used)
+    usable = sum(free[owner] for owner in inputs.index.get_owners(model.name))
+    if usable < len(affected):
+        # Without a replacement, a slow group is better than none.
         return None
-    return PlannedMove(group, DrainCause.REPLACE, f"{','.join(gone)} is slow")
+    return PlannedDrain(group, DrainCause.REPLACE, f"{','.join(affected)} is slow")
--- a/src/zinniaspool/core/groups/serving.py
+++ b/src/zinniaspool/core/groups/serving.py
@@ -1,4 +1,4 @@
-"""Which groups of a plan may be sent requests."""
+"""Decides which groups of a plan may be sent requests."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -11,16 +11,17 @@
     GroupStage,
 )
 
-__all__ = ["SeenReport", "find_serving"]
+__all__ = ["TimedReport", "find_serving"]
 
 
 @dataclass(frozen=True, slots=True)
-class SeenReport:
-    """A report and when its engine made it, on this process's clock.
+class TimedReport:
+    """An engine's report and its time, on this process's clock.
 
     Attributes:
-        report: What the engine said.
-        made_at: Seconds; the time of receipt less the report's age.
+        report: The report.
+        made_at: When the report was requested, in seconds; the reported
+            state is no older.
     """
 
     report: EngineReport
@@ -29,23 +30,23 @@
 
 def find_serving(
     groups: Iterable[GroupPlan],
-    reports: Mapping[VmId, SeenReport],
+    reports: Mapping[VmId, TimedReport],
     now: float,
     stale_after_s: float,
 ) -> list[GroupPlan]:
-    """Return the groups whose every VM freshly reports this very group.
+    """Return the groups whose VMs have all recently reported this group.
 
     A replica with a missing VM gives no answers or wrong ones, and a plan
-    alone does not show that its VMs are there: they may be down, still
-    loading, or following an older plan. So each member must itself have said
-    this group, epoch, model and version, and not longer ago than
-    ``stale_after_s``; a VM that says nothing counts as absent.
+    alone does not show that the VMs are available: they may be down, still
+    loading, or following an older plan. Each member must therefore itself
+    have reported this group, epoch, model and version, not longer than
+    ``stale_after_s`` ago. A VM without such a report counts as absent.
 
     Args:
-        groups: The groups of the newest plan known.
+        groups: The groups of the newest known plan.
         reports: The newest report of each VM.
         now: Seconds, on the clock of ``made_at``.
-        stale_after_s: Age from which a report counts as absent.
+        stale_after_s: Age above which a report no longer counts.
     """
     return [
         group
@@ -57,10 +58,10 @@
     ]
 
 
-def _is_ready(group: GroupPlan, seen: SeenReport | None, oldest: float) -> bool:
-    if seen is None or seen.made_at < oldest:
+def _is_ready(group: GroupPlan, timed: TimedReport | None, oldest: float) -> bool:
+    if timed is None or timed.made_at < oldest:
         return False
-    report = seen.report
+    report = timed.report
     return report.state is EngineState.READY and (
         report.group,
         report.epoch,
--- a/src/zinniaspool/core/groups/succession.py
+++ b/src/zinniaspool/core/groups/succession.py
@@ -1,9 +1,10 @@
-"""Which control process takes a fabric domain, and when.
+"""Failover: which control process takes over a fabric domain, and when.
 
-Every process ranks the control processes it knows for each domain in the
-same, evenly spread order. The first in the order acts first; the others only
-after a silence that grows with their place, so that neither the store nor
-the engines are asked by all of them at once.
+Every process computes the same ranking of the control processes it knows for
+each domain; the rankings of the domains spread evenly over the processes. The
+process of the first rank acts first, the others only after a time without
+heartbeats that grows with their rank, so that not all processes call the
+store and the engines at once.
 """
 
 import hashlib
@@ -13,119 +14,135 @@
 
 from zinniaspool.core.ids import FabricDomainId, NodeId
 
-__all__ = ["Duty", "Succession", "SuccessionLimits", "rank_process"]
+__all__ = ["DomainRole", "DomainFailover", "FailoverLimits", "rank_process"]
 
 
-_STANDBYS = 2
-"""The first places in the order; the holder mostly has one of them."""
+_STANDBY_COUNT = 2
+"""Number of first ranks that are standbys; the holder usually has one of
+them."""
 
 
-class Duty(Enum):
-    """What a process does for a domain whose lease it does not hold."""
+class DomainRole(Enum):
+    """The role of a process for a domain whose lease it does not hold."""
 
     NONE = "none"
+    """The process does nothing for the domain."""
 
     STANDBY = "standby"
-    """Ask the engines and say nothing, so as to know their reports in the
-    moment in which the holder falls silent."""
+    """The process polls the engines and publishes nothing. It knows their
+    reports at the moment at which the holder's heartbeats stop."""
 
     WITNESS = "witness"
-    """Ask the engines and pass on what they report; change nothing. Needs no
-    lease: evidence is of use from whoever gives it, and while the store is
-    out nobody can take the lease of a holder that died."""
+    """The process polls the engines and publishes their reports, but changes
+    nothing. It needs no lease: evidence is useful from any process, and no
+    process can acquire the lease of a failed holder while the store is
+    unreachable."""
 
-    TAKE = "take"
-    """Try to take the lease, and witness meanwhile."""
+    CANDIDATE = "take"
+    """The process tries to acquire the lease, and is a witness meanwhile."""
 
 
 @dataclass(frozen=True, slots=True)
-class SuccessionLimits:
-    """Silences after which a process acts.
+class FailoverLimits:
+    """Times without a heartbeat after which a process acts.
 
     Attributes:
-        witness_after_s: Without any beat, before witnessing; less than the
-            age at which evidence is void, so that groups serve on.
-        take_after_s: Without a holder's beat, before taking the lease.
-        start_s: The same for a process that has heard nothing yet.
-        stagger_s: Added for each place in the order.
+        witness_after_s: Time without any heartbeat until the process becomes
+            a witness. It is shorter than the age above which evidence is
+            ignored, so that groups continue to serve.
+        acquire_after_s: Time without the holder's heartbeat until the
+            process tries to acquire the lease.
+        first_acquire_after_s: The same for a process that has not received
+            any of the holder's heartbeats since it started.
+        stagger_s: Time added to each of these for each rank.
     """
 
     witness_after_s: float = 0.9
-    take_after_s: float = 3.0
-    start_s: float = 0.3
+    acquire_after_s: float = 3.0
+    first_acquire_after_s: float = 0.3
     stagger_s: float = 0.1
 
 
 def rank_process(node: NodeId, nodes: Iterable[NodeId], domain: FabricDomainId) -> int:
-    """Return a process's place in a domain's order, from 0."""
-    own = _weigh(node, domain)
-    return sum(_weigh(other, domain) < own for other in nodes if other != node)
+    """Return a process's rank for a domain, from 0."""
+    node_hash = _hash_rank(node, domain)
+    return sum(
+        _hash_rank(other, domain) < node_hash for other in nodes if other != node
+    )
 
 
-def _weigh(node: NodeId, domain: FabricDomainId) -> bytes:
+def _hash_rank(node: NodeId, domain: FabricDomainId) -> bytes:
     return hashlib.blake2b(f"{node}|{domain}".encode(), digest_size=8).digest()
 
 
 @dataclass(slots=True)
-class Succession:
-    """Decides one process's duty towards one domain from what it hears.
+class DomainFailover:
+    """Decides one process's role for one domain by received heartbeats.
 
     Attributes:
-        limits: Silences after which it acts.
-        began_at: When the process began to listen.
+        limits: Times without a heartbeat after which the process acts.
+        started_at: When the process started to receive heartbeats.
     """
 
-    limits: SuccessionLimits
-    began_at: float
-    _heard_at: float | None = None
-    _holder_at: float | None = None
-    _heard_rank: int = -1
-    _witnesses: bool = False
-    _tried_at: float = field(default=float("-inf"))
+    limits: FailoverLimits
+    started_at: float
+    _heartbeat_at: float | None = None
+    _holder_heartbeat_at: float | None = None
+    _heartbeat_rank: int = -1
+    _is_witnessing: bool = False
+    _attempted_at: float = field(default=float("-inf"))
 
-    def hear(self, holds: bool, ends: bool, rank: int, now: float) -> None:
-        """Take another process's beat.
+    def on_heartbeat(self, holds: bool, ends: bool, rank: int, now: float) -> None:
+        """Handle a heartbeat of another process.
 
         Args:
-            holds: Whether it holds the lease.
-            ends: Whether it stops.
-            rank: Its place in the domain's order.
-            now: Seconds.
+            holds: Whether the other process holds the lease.
+            ends: Whether the other process stops.
+            rank: The other process's rank for the domain.
+            now: Seconds, on this process's clock.
         """
         if ends:
-            self._heard_at = now - self.limits.witness_after_s
-            self._holder_at = now - self.limits.take_after_s
+            self._heartbeat_at = now - self.limits.witness_after_s
+            self._holder_heartbeat_at = now - self.limits.acquire_after_s
             return
-        self._heard_at, self._heard_rank = now, -1 if holds else rank
+        self._heartbeat_at, self._heartbeat_rank = now, -1 if holds else rank
         if holds:
-            self._holder_at = now
+            self._holder_heartbeat_at = now
 
-    def note_try(self, now: float) -> None:
-        """Note that the lease was asked for and not got."""
-        self._tried_at = now
+    def on_acquire_attempt(self, now: float) -> None:
+        """Record an attempt to acquire the lease.
 
-    def decide(self, rank: int, now: float) -> Duty:
-        """Return what to do now, at this place in the domain's order."""
+        The next attempt follows after half of ``acquire_after_s``.
+        """
+        self._attempted_at = now
+
+    def decide_role(self, rank: int, now: float) -> DomainRole:
+        """Return the process's role now, given its rank for the domain."""
         stagger_s = rank * self.limits.stagger_s
-        if now >= max(self._take_from() + stagger_s, self._tried_at + self._retry_s):
-            return Duty.TAKE
-        self._witnesses = self._is_witness(rank, now - stagger_s)
-        if self._witnesses:
-            return Duty.WITNESS
-        return Duty.STANDBY if rank < _STANDBYS else Duty.NONE
-
-    def _is_witness(self, rank: int, now: float) -> bool:
-        heard_at = self.began_at if self._heard_at is None else self._heard_at
-        if now >= heard_at + self.limits.witness_after_s:
+        if now >= max(
+            self._find_acquire_time() + stagger_s, self._attempted_at + self._retry_s
+        ):
+            return DomainRole.CANDIDATE
+        self._is_witnessing = self._should_witness(rank, now - stagger_s)
+        if self._is_witnessing:
+            return DomainRole.WITNESS
+        return DomainRole.STANDBY if rank < _STANDBY_COUNT else DomainRole.NONE
+
+    def _should_witness(self, rank: int, now: float) -> bool:
+        heartbeat_at = (
+            self.started_at if self._heartbeat_at is None else self._heartbeat_at
+        )
+        if now >= heartbeat_at + self.limits.witness_after_s:
             return True
-        # Of two that witness at once, the later in the order stops.
-        return self._witnesses and rank < self._heard_rank
+        # Of two concurrent witnesses, the one of the higher rank number
+        # stops.
+        return self._is_witnessing and rank < self._heartbeat_rank
 
     @property
     def _retry_s(self) -> float:
-        return self.limits.take_after_s / 2
+        return self.limits.acquire_after_s / 2
 
-    def _take_from(self) -> float:
-        if self._holder_at is None:
-            return self.began_at + self.limits.start_s
-        return self._holder_at + self.limits.take_after_s
+    def _find_acquire_time(self) -> float:
+        if self._holder_heartbeat_at is None:
+            return self.started_at + self.limits.first_acquire_after_s
+        return self._holder_heartbeat_at + self.limits.acquire_after_s
--- a/src/zinniaspool/core/groups/tenure.py
+++ b/src/zinniaspool/core/groups/tenure.py
@@ -1,77 +1,79 @@
-"""For how long a control process may act on the domain that it leases."""
+"""The time in which a control process may act on a domain that it leases."""
 
 from dataclasses import dataclass
 
 from zinniaspool.core.deployment import FencingSupport
 
-__all__ = ["Tenure", "TenureLimits"]
+__all__ = ["LeaseTenure", "LeaseTenureLimits"]
 
 
 @dataclass(frozen=True, slots=True)
-class TenureLimits:
+class LeaseTenureLimits:
     """How a lease is used.
 
     Attributes:
         lease_s: Length of the lease, on the store's clock.
-        used_part: The part of it in which its holder acts. The rest is for
-            clocks that differ, and for what is on its way.
-        order_s: Longest time that an order can be under way.
+        used_part: Share of the lease in which its holder acts. The rest
+            allows for clocks that differ and for messages in transit.
+        max_order_s: Longest time that an order can be in transit.
     """
 
     lease_s: float = 3.0
     used_part: float = 0.5
-    order_s: float = 1.0
+    max_order_s: float = 1.0
 
 
-class Tenure:
-    """One holding of a domain's lease, by this process's own clock.
+class LeaseTenure:
+    """One tenure of a domain's lease, by this process's own clock.
 
-    The store counts the lease from when it took the call, which is after the
-    call was made. Counting from when the call was made, and using only a
-    part of the lease, this process stops before the store gives the lease to
-    another one. A process that was stopped in between finds out from its own
-    clock, if it looks before each order and each swap.
+    The store's lease starts when the store handles the call, which is after
+    the call was sent. This process counts from when it sent the call and
+    uses only a share of the lease, so it stops before the store can grant
+    the lease to another process. A process that was suspended meanwhile
+    learns this from its own clock, provided that it checks the clock before
+    each order and each write of a plan.
 
     Args:
         limits: How the lease is used.
-        asked_at: When the lease was asked for.
-        taken_at: When the answer came.
-        fencing: What engines do with an order that carries an old epoch.
+        requested_at: When the lease was requested.
+        granted_at: When the answer came.
+        fencing: Whether engines check or ignore the epoch of an order.
     """
 
     def __init__(
         self,
-        limits: TenureLimits,
-        asked_at: float,
-        taken_at: float,
+        limits: LeaseTenureLimits,
+        requested_at: float,
+        granted_at: float,
         fencing: FencingSupport,
     ) -> None:
         self._limits = limits
-        self._used_s = limits.lease_s * limits.used_part
-        self._until = asked_at + self._used_s
-        self._orders_from = taken_at
+        self._usable_s = limits.lease_s * limits.used_part
+        self._valid_until = requested_at + self._usable_s
+        self._orders_from = granted_at
         if fencing is FencingSupport.IGNORED:
-            # The former holder's last orders may still arrive and would be
-            # followed. What engines report before then may not last.
-            self._orders_from += limits.order_s
+            # The former holder's last orders may still arrive, and engines
+            # would follow them. A state that an engine reports before then
+            # may change again.
+            self._orders_from += limits.max_order_s
         self._ended = False
 
     @property
     def orders_from(self) -> float:
-        """When the former holder's orders have all arrived or expired."""
+        """When all orders of the former holder have arrived or expired."""
         return self._orders_from
 
-    def renew(self, asked_at: float) -> None:
-        """Start the lease's time anew, from when the renewal was asked for."""
-        self._until = max(self._until, asked_at + self._used_s)
+    def renew(self, requested_at: float) -> None:
+        """Extend the tenure, counted from when the renewal was requested."""
+        self._valid_until = max(self._valid_until, requested_at + self._usable_s)
 
     def end(self) -> None:
-        """End the tenure: the lease is lost or given up."""
+        """End the tenure: the lease is lost or released."""
         self._ended = True
 
     def is_valid(self, now: float) -> bool:
         """Whether this process may act on the domain now."""
-        return not self._ended and now < self._until
+        return not self._ended and now < self._valid_until
 
     def may_order(self, now: float) -> bool:
         """Whether orders may be sent now."""
--- a/src/zinniaspool/core/groups/views.py
+++ b/src/zinniaspool/core/groups/views.py
@@ -1,4 +1,4 @@
-"""What a holder sees of its domain's VMs, and what planning answers."""
+"""A holder's view of its domain's VMs, and the result of planning."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -19,25 +19,28 @@
     "IdleReason",
     "IdleVm",
     "PlanChange",
-    "PlanStep",
+    "PlanningResult",
     "VmCondition",
     "VmView",
 ]
 
 
 class VmCondition(Enum):
-    """Whether a VM may be counted on."""
+    """Whether a VM can be used for groups."""
 
     PRESENT = "present"
     SETTLING = "settling"
-    """It reports again, and not for long enough to join a group."""
+    """The VM reports again, but not yet long enough to join a group."""
 
     ABSENT = "absent"
     LEAVING = "leaving"
+    """The platform is about to remove the VM."""
+
     STRAGGLING = "straggling"
+    """The VM was much slower than the other members of its group."""
 
     def out_reason(self) -> ExclusionReason | None:
-        """Return why a VM of this condition may not join a group."""
+        """Return why a VM in this condition may not join a group, if so."""
         return _OUT_REASONS.get(self)
 
 
@@ -53,9 +56,10 @@
     """One VM as its domain's holder sees it.
 
     Attributes:
-        condition: Whether it may be counted on.
-        since: Since when, in seconds of the holder's clock.
-        report: Its newest report, or None.
+        condition: Whether the VM can be used for groups.
+        since: Time of the newest report, or of the start of tracking, in
+            seconds of the holder's clock.
+        report: The newest report, or None.
     """
 
     condition: VmCondition
@@ -63,30 +67,30 @@
     report: EngineReport | None = None
 
     @property
-    def reports(self) -> bool:
-        """Whether its newest report still says what its engine does."""
+    def is_reporting(self) -> bool:
+        """Whether the newest report still shows the engine's state."""
         return self.condition is not VmCondition.ABSENT and self.report is not None
 
     @property
-    def empty(self) -> bool:
-        """Whether it reports that it holds nothing of any customer."""
+    def is_empty(self) -> bool:
+        """Whether the VM reports that it has no customer's data loaded."""
         return (
-            self.reports
+            self.is_reporting
             and self.report is not None
             and self.report.state is EngineState.EMPTY
         )
 
-    def follows(self, group: GroupPlan) -> bool:
-        """Whether it reports this group at its present epoch."""
+    def reports_group(self, group: GroupPlan) -> bool:
+        """Whether the VM reports this group at the group's current epoch."""
         return (
-            self.reports
+            self.is_reporting
             and self.report is not None
             and (self.report.group, self.report.epoch) == (group.id, group.epoch)
         )
 
 
 class ChangeKind(Enum):
-    """What a plan changes."""
+    """The kind of a change of a plan."""
 
     FORMED = "formed"
     REPAIRED = "repaired"
@@ -96,18 +100,19 @@
     VM_OUT = "vm-out"
     VM_BACK = "vm-back"
     KEPT_WAITING = "kept-waiting"
-    """Nothing is changed yet: the group waits for a VM."""
+    """The plan does not change yet: the group waits for a VM."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlanChange:
-    """One change of a plan and why.
+    """One change of a plan and its reason.
 
     Attributes:
-        kind: What changes.
-        subjects: ``group:ID``, ``vm:ID``, ``model:NAME``.
-        reason: For a person.
-        rejected: What else was weighed and why not.
+        kind: The kind of change.
+        subjects: The groups, VMs and models concerned, as ``group:ID``,
+            ``vm:ID`` and ``model:NAME``.
+        reason: Explanation for operators.
+        rejected: The alternatives and why they were rejected.
     """
 
     kind: ChangeKind
@@ -125,40 +130,43 @@
     SETTLING = "settling"
     EMPTYING = "emptying"
     WAITING_FOR_MEMBER = "waiting-for-member"
-    """Its group lacks another VM."""
+    """Another member of the VM's group is absent."""
 
     NO_CUSTOMER = "no-customer"
-    """No model may run on its owner's VMs."""
+    """No model may run on the VMs of this VM's owner."""
 
     TOO_FEW = "too-few"
-    """The domain's free VMs are fewer than any model's group."""
+    """The domain's free VMs are too few for a group of a model that lacks
+    groups and could use them."""
 
     NOT_WANTED = "not-wanted"
-    """Every model that could use it has the groups it wants."""
+    """Every model that could use the VM has all the groups that it wants."""
 
 
 @dataclass(frozen=True, slots=True)
 class IdleVm:
-    """A VM that serves in no group, and why."""
+    """A VM that serves in no group, and the reason."""
 
     vm: VmId
     reason: IdleReason
 
 
 @dataclass(frozen=True, slots=True)
-class PlanStep:
-    """What planning a domain came to.
+class PlanningResult:
+    """The result of a planning pass over one domain.
 
     Attributes:
-        plan: The next plan; the current one itself when nothing changes.
-        changes: What changes, each with its reason.
-        idle: VMs in no serving group.
-        shortfalls: What the fleet has no room for.
-        steps: Candidates looked at.
+        plan: The next plan, or the current object itself when nothing
+            changes.
+        changes: The changes, each with its reason.
+        idle_vms: The domain's VMs in no serving group.
+        shortfalls: Requirements of models that the fleet has no room for.
+        candidates_checked: How many VMs, domains and groups were examined; a
+            measure of the cost.
     """
 
     plan: DomainPlan
     changes: tuple[PlanChange, ...]
-    idle: tuple[IdleVm, ...]
+    idle_vms: tuple[IdleVm, ...]
     shortfalls: tuple[Shortfall, ...]
-    steps: int
+    candidates_checked: int
--- a/src/zinniaspool/entry/fleet.py
+++ b/src/zinniaspool/entry/fleet.py
@@ -6,11 +6,11 @@
 import msgspec
 
 from zinniaspool.core.deployment import Configuration, ModelRule, Vm
-from zinniaspool.core.groups import EvidenceBook
+from zinniaspool.core.groups import EvidenceTable
 from zinniaspool.core.groups.beats import (
     BEAT_PREFIX,
     PLAN_PREFIX,
-    decode_beat,
+    decode_heartbeat,
     decode_plan,
 )
 from zinniaspool.core.ids import (
@@ -50,7 +50,7 @@
     def __init__(self, stale_after_s: float) -> None:
         self.configuration: Configuration | None = None
         self._stale_after_s = stale_after_s
-        self.evidence = EvidenceBook(stale_after_s)
+        self.evidence = EvidenceTable(stale_after_s)
         self._vms: Mapping[VmId, Vm] = {}
         self._models: Mapping[ModelName, ModelRule] = {}
 
@@ -64,10 +64,10 @@
         """Take a domain's plan, or the evidence that its groups are whole."""
         try:
             if notice.key.startswith(PLAN_PREFIX):
-                self.evidence.take_plan(decode_plan(notice.payload))
+                self.evidence.apply_plan(decode_plan(notice.payload))
             elif notice.key.startswith(BEAT_PREFIX):
-                beat = decode_beat(notice.payload)
-                self.evidence.take_beat(beat, notice.age_s, now)
+                beat = decode_heartbeat(notice.payload)
+                self.evidence.apply_heartbeat(beat, notice.age_s, now)
         except (msgspec.MsgspecError, UnicodeDecodeError):
             # Of a version not known here: its groups count as absent.
             return
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -1,4 +1,7 @@
-"""A small fleet for tests of planning: engines that follow at once."""
+"""A small simulated fleet for tests of planning.
+
+Its engines follow each plan at once.
+"""
 
 from dataclasses import dataclass, field, replace
 from itertools import product
@@ -15,9 +18,9 @@
 )
 from zinniaspool.core.groups import (
     DomainInput,
-    ExpectedCost,
+    ExpectedCostPolicy,
     FleetIndex,
-    PlanStep,
+    PlanningResult,
     RepairPolicy,
     VmCondition,
     VmView,
@@ -42,13 +45,13 @@
     GroupStage,
 )
 
-__all__ = ["World", "make_configuration", "make_model", "make_vms"]
+__all__ = ["SimulatedFleet", "make_configuration", "make_model", "make_vms"]
 
 WEIGHTS = RepairWeights(group_downtime=1.0, stranded_accelerators=0.05)
 
 
 def make_vms(domain: str, owners: str, failure_domain: str = "") -> tuple[Vm, ...]:
-    """Return a domain's VMs, one for each letter: its owner."""
+    """Return a domain's VMs, one for each letter, which names its owner."""
     return tuple(
         Vm(
             VmId(f"{domain}-{k}"),
@@ -65,7 +68,7 @@
 def make_model(
     name: str, size: int, guaranteed: int, wanted: int, customers: str = "a"
 ) -> ModelRule:
-    """Return a model of some customers, one letter each."""
+    """Return a model; each letter of ``customers`` names one customer."""
     return ModelRule(
         ModelName(name),
         ModelVersion("1"),
@@ -92,65 +95,77 @@
 
 
 @dataclass
-class World:
+class SimulatedFleet:
     """Plans of all domains, and VMs whose engines follow them at once.
 
     Attributes:
-        configuration: What the operators want.
-        conditions: VMs that are not simply present.
-        broken_versions: Versions that never get ready.
+        configuration: The accepted configuration.
+        policy: Decides what to do about broken groups.
+        plans: The current plan of each domain.
+        conditions: The conditions of VMs that are not present.
+        broken_versions: Versions of models that never finish loading.
+        reports: The newest report of each VM.
+        absent_s: How long absent VMs have been absent.
+        epoch: The epoch of the last planning pass.
+        now: Seconds, on the simulation's clock.
     """
 
     configuration: Configuration
-    policy: RepairPolicy = field(default_factory=lambda: ExpectedCost(WEIGHTS))
+    policy: RepairPolicy = field(default_factory=lambda: ExpectedCostPolicy(WEIGHTS))
     plans: dict[FabricDomainId, DomainPlan] = field(default_factory=dict)
     conditions: dict[VmId, VmCondition] = field(default_factory=dict)
     broken_versions: set[str] = field(default_factory=set)
     reports: dict[VmId, EngineReport] = field(default_factory=dict)
     absent_s: float = 36000.0
     epoch: int = 0
-    _before: dict[FabricDomainId, DomainPlan] = field(default_factory=dict)
+    _previous_plans: dict[FabricDomainId, DomainPlan] = field(default_factory=dict)
     now: float = 1e6
 
-    def settle(self, most: int = 60) -> list[PlanStep]:
+    def plan_until_stable(self, max_rounds: int = 60) -> list[PlanningResult]:
         """Plan all domains in turn until nothing changes."""
-        done = []
-        for _ in range(most):
-            steps = [self.step(domain) for domain in self.index.domains]
-            done += steps
+        all_results = []
+        for _ in range(max_rounds):
+            results = [self.run_pass(domain) for domain in self.index.domains]
+            all_results += results
             if all(
-                step.plan is self._before[step.plan.fabric_domain] for step in steps
+                result.plan is self._previous_plans[result.plan.fabric_domain]
+                for result in results
             ):
-                return done
-        raise AssertionError("does not come to rest")
+                return all_results
+        raise AssertionError("the plans do not become stable")
 
     @property
     def index(self) -> FleetIndex:
-        """The configuration, arranged for planning."""
+        """The indexed configuration."""
         return FleetIndex(self.configuration)
 
-    def step(self, domain: FabricDomainId) -> PlanStep:
-        """Plan one domain and let its engines follow."""
+    def run_pass(self, domain: FabricDomainId) -> PlanningResult:
+        """Plan one domain, and let its engines follow the plan."""
         self.epoch += 1
-        given = self.look(domain)
-        self._before = {**self._before, domain: given.plan}
-        step = plan_domain(given, self.policy, self.now)
-        self.plans[domain] = step.plan
-        self.check()
+        inputs = self.make_input(domain)
+        self._previous_plans = {**self._previous_plans, domain: inputs.plan}
+        result = plan_domain(inputs, self.policy, self.now)
+        self.plans[domain] = result.plan
+        self.check_plans()
         self._follow(domain)
-        return step
+        return result
 
-    def look(self, domain: FabricDomainId) -> DomainInput:
-        """Return what the domain's plan depends on now."""
+    def make_input(self, domain: FabricDomainId) -> DomainInput:
+        """Return the current inputs of planning a domain."""
         plan = self.plans.setdefault(domain, DomainPlan(domain))
         self.plans[domain] = plan
         views = {vm.id: self._view(vm.id) for vm in self.index.domains[domain]}
         return DomainInput(
-            self.index, dict(self.plans), domain, views, self.ready(), Epoch(self.epoch)
+            self.index,
+            dict(self.plans),
+            domain,
+            views,
+            self.find_ready(),
+            Epoch(self.epoch),
         )
 
-    def ready(self) -> frozenset[GroupId]:
-        """Return the groups whose every VM is there and has loaded."""
+    def find_ready(self) -> frozenset[GroupId]:
+        """Return the groups whose VMs are all present and have loaded."""
         return frozenset(
             group.id
             for plan in self.plans.values()
@@ -159,31 +174,31 @@
             and all(self._is_ready(group, vm) for vm in group.vms)
         )
 
-    def serving(self, model: str) -> int:
+    def count_serving(self, model: str) -> int:
         """Return how many groups of a model serve."""
-        ready = self.ready()
+        ready = self.find_ready()
         return sum(
             group.model == model and group.id in ready
             for plan in self.plans.values()
             for group in plan.groups
         )
 
-    def groups(self) -> list[GroupPlan]:
+    def list_groups(self) -> list[GroupPlan]:
         """Return all planned groups."""
         return [group for plan in self.plans.values() for group in plan.groups]
 
-    def lose(self, *vms: str) -> None:
+    def make_absent(self, *vms: str) -> None:
         """Make VMs absent."""
         self.conditions.update({VmId(vm): VmCondition.ABSENT for vm in vms})
 
     def restore(self, *vms: str) -> None:
-        """Have VMs back, empty."""
+        """Bring VMs back, with nothing loaded."""
         for vm in vms:
             self.conditions.pop(VmId(vm), None)
             self.reports[VmId(vm)] = EngineReport(VmId(vm), "new", EngineState.EMPTY)
 
-    def check(self) -> None:
-        """Assert what always holds of plans."""
+    def check_plans(self) -> None:
+        """Assert the invariants of plans."""
         index = self.index
         for domain, plan in self.plans.items():
             members = [vm for group in plan.groups for vm in group.vms]
@@ -197,7 +212,9 @@
                 if new and group.stage is GroupStage.SERVING:
                     for vm, customer in product(group.vms, group.customers):
                         allowed = rules[customer].may_use
-                        assert index.vms[vm].owner in allowed, "a rival's VM"
+                        assert index.vms[vm].owner in allowed, (
+                            "a VM that is not permitted"
+                        )
 
     def _view(self, vm: VmId) -> VmView:
         condition = self.conditions.get(vm, VmCondition.PRESENT)
@@ -218,23 +235,23 @@
         member_of = {vm: g for g in self.plans[domain].groups for vm in g.vms}
         for vm in self.index.domains[domain]:
             if self.conditions.get(vm.id) is not VmCondition.ABSENT:
-                self.reports[vm.id] = self._obey(vm.id, member_of.get(vm.id))
+                self.reports[vm.id] = self._apply_plan(vm.id, member_of.get(vm.id))
 
-    def _obey(self, vm: VmId, group: GroupPlan | None) -> EngineReport:
-        before = self.reports.get(vm) or EngineReport(vm, "b", EngineState.EMPTY)
+    def _apply_plan(self, vm: VmId, group: GroupPlan | None) -> EngineReport:
+        previous = self.reports.get(vm) or EngineReport(vm, "b", EngineState.EMPTY)
         if group is None or group.stage is GroupStage.RELEASING:
-            return EngineReport(vm, before.boot, EngineState.EMPTY)
+            return EngineReport(vm, previous.boot, EngineState.EMPTY)
         if group.stage is GroupStage.DRAINING:
-            return replace(before, state=EngineState.DRAINING)
-        kept = before.state is EngineState.EMPTY or before.group in (
+            return replace(previous, state=EngineState.DRAINING)
+        may_load = previous.state is EngineState.EMPTY or previous.group in (
             group.id,
             group.follows,
         )
-        assert kept, "joins without having been emptied"
+        assert may_load, "joins without having been emptied"
         broken = group.version in self.broken_versions
         return EngineReport(
             vm,
-            before.boot,
+            previous.boot,
             EngineState.LOADING if broken else EngineState.READY,
             group.id,
             group.epoch,
--- a/tests/holder_fakes.py
+++ b/tests/holder_fakes.py
@@ -1,7 +1,7 @@
-"""Holders, engines and a store on one clock that a test moves.
+"""Simulation of holders, engines and a store on one clock that a test sets.
 
-Processes are coroutines that stop at every call, so that a test can freeze
-them between any two steps, also between a decision and what follows from it.
+Processes are coroutines that yield at every call, so that a test can freeze
+them between any two steps, also between a decision and its execution.
 """
 
 from collections.abc import Generator
@@ -14,14 +14,14 @@
 from zinniaspool.control.leases import DomainStore
 from zinniaspool.core.deployment import Configuration, FencingSupport
 from zinniaspool.core.groups import (
-    EvidenceBook,
+    EvidenceTable,
     FleetIndex,
-    FleetKnowledge,
     Holder,
     HolderLimits,
+    OtherDomainsView,
 )
-from zinniaspool.core.groups.beats import DomainBeat, make_beat
-from zinniaspool.core.groups.tenure import TenureLimits
+from zinniaspool.core.groups.beats import DomainHeartbeat, make_heartbeat
+from zinniaspool.core.groups.tenure import LeaseTenureLimits
 from zinniaspool.core.groups.tracking import TrackingLimits
 from zinniaspool.core.ids import FabricDomainId, NodeId, Revision, VmId
 from zinniaspool.core.plans import (
@@ -40,7 +40,7 @@
 )
 from zinniaspool_standins.kvstore import KeyValueState
 
-__all__ = ["DOMAIN", "Bench", "FakeEngine", "FakeProcess"]
+__all__ = ["DOMAIN", "HolderSimulation", "FakeEngine", "FakeProcess"]
 
 DOMAIN = FabricDomainId("d0")
 TICK_S = 0.1
@@ -50,45 +50,52 @@
 _LEASE_S = 3.0
 _STEPS_A_TICK = 12
 _LIMITS = HolderLimits(
-    TenureLimits(_LEASE_S, order_s=ORDER_S),
-    TrackingLimits(absent_s=2.5, settle_s=0.5),
+    LeaseTenureLimits(_LEASE_S, max_order_s=ORDER_S),
+    TrackingLimits(absent_after_s=2.5, settle_s=0.5),
     STALE_S,
-    review_s=0.5,
+    review_interval_s=0.5,
 )
 
 
 class Pause:
-    """Awaited where a process may be frozen."""
+    """Awaitable at which a process may be frozen."""
 
     def __await__(self) -> Generator[None, None, None]:
-        """Give the test its turn."""
+        """Yield control to the test."""
         yield
 
 
 @dataclass
 class FakeEngine:
-    """An engine: follows orders, or refuses old ones.
+    """An engine that follows orders, and may reject outdated ones.
 
     Attributes:
-        faults: What must never happen and did.
-        left_at: When an order took it out of each group.
+        vm: The engine's VM.
+        checks_epochs: Whether it rejects orders of an older epoch.
+        report: Its current report.
+        alive: Whether its process runs.
+        paused: Whether it neither answers polls nor receives orders.
+        ready_at: When its current load ends.
+        highest_epoch: The highest epoch of any order so far.
+        faults: Violations of what an engine may be ordered to do.
+        last_ready_at: When it was last ready in each group and epoch.
     """
 
     vm: VmId
-    checks: bool
+    checks_epochs: bool
     report: EngineReport
     alive: bool = True
     paused: bool = False
     ready_at: float = 0.0
-    highest: int = 0
+    highest_epoch: int = 0
     faults: list[str] = field(default_factory=list)
-    held: dict[tuple[str, int], float] = field(default_factory=dict)
+    last_ready_at: dict[tuple[str, int], float] = field(default_factory=dict)
 
     def follow(self, order: Order, now: float) -> None:
-        """Take an order that arrives."""
-        if not self.alive or (self.checks and order.epoch < self.highest):
+        """Follow an order that arrives, or reject it."""
+        if not self.alive or (self.checks_epochs and order.epoch < self.highest_epoch):
             return
-        self.highest = max(self.highest, order.epoch)
+        self.highest_epoch = max(self.highest_epoch, order.epoch)
         before = self.report
         match order.kind:
             case OrderKind.UNLOAD:
@@ -119,37 +126,37 @@
         )
 
     def tick(self, now: float) -> None:
-        """Let time pass."""
+        """Advance to a time."""
         if self.report.state is EngineState.LOADING and now >= self.ready_at:
             self.report = replace(self.report, state=EngineState.READY)
         if self.alive and self.report.state is EngineState.READY:
-            self.held[str(self.report.group), self.report.epoch] = now
+            self.last_ready_at[str(self.report.group), self.report.epoch] = now
 
     def restart(self) -> None:
-        """Come back with nothing."""
+        """Restart the process, with nothing loaded."""
         self.alive = True
         boot = self.report.boot + "x"
         self.report = EngineReport(self.vm, boot, EngineState.EMPTY)
-        self.highest = 0
+        self.highest_epoch = 0
 
 
 class FakeStore:
-    """The store's state behind calls that can be frozen, refused or lost."""
+    """The store's state behind calls that can be frozen, fail or get lost."""
 
-    def __init__(self, bench: "Bench") -> None:
-        self._bench = bench
+    def __init__(self, simulation: "HolderSimulation") -> None:
+        self._simulation = simulation
 
     async def get(self, key: str) -> Result[StoreValue | None, StoreFault]:
         """See the protocol."""
         if await self._is_out():
             return Err(StoreFault.UNAVAILABLE)
-        return Ok(self._bench.state.get(key))
+        return Ok(self._simulation.state.get(key))
 
     async def list(self, prefix: str) -> Result[StoreListing, StoreFault]:
         """See the protocol."""
         if await self._is_out():
             return Err(StoreFault.UNAVAILABLE)
-        return Ok(self._bench.state.list(prefix))
+        return Ok(self._simulation.state.list(prefix))
 
     async def swap(
         self, key: str, value: str, expected: Revision, lease: LeaseId | None = None
@@ -157,10 +164,10 @@
         """See the protocol."""
         if await self._is_out():
             return Err(StoreFault.UNAVAILABLE)
-        written = self._bench.state.swap(key, value, expected, lease)
+        written = self._simulation.state.swap(key, value, expected, lease)
         await Pause()
-        if self._bench.lose_answers:
-            self._bench.lose_answers -= 1
+        if self._simulation.lose_answers:
+            self._simulation.lose_answers -= 1
             return Err(StoreFault.UNKNOWN)
         return Err(written) if isinstance(written, StoreFault) else Ok(written)
 
@@ -172,21 +179,21 @@
         """See the protocol."""
         if await self._is_out():
             return Err(StoreFault.UNAVAILABLE)
-        return Ok(self._bench.state.grant(ttl_s, self._bench.now))
+        return Ok(self._simulation.state.grant(ttl_s, self._simulation.now))
 
     async def renew(self, lease: LeaseId) -> Result[None, StoreFault]:
         """See the protocol."""
         if await self._is_out():
             return Err(StoreFault.UNAVAILABLE)
-        held = self._bench.state.renew(lease, self._bench.now)
+        renewed = self._simulation.state.renew(lease, self._simulation.now)
         await Pause()
-        return Ok(None) if held else Err(StoreFault.NO_LEASE)
+        return Ok(None) if renewed else Err(StoreFault.NO_LEASE)
 
     async def revoke(self, lease: LeaseId) -> Result[None, StoreFault]:
         """See the protocol."""
         if await self._is_out():
             return Err(StoreFault.UNAVAILABLE)
-        self._bench.state.revoke(lease)
+        self._simulation.state.revoke(lease)
         return Ok(None)
 
     async def watch(
@@ -197,95 +204,100 @@
 
     async def _is_out(self) -> bool:
         await Pause()
-        return self._bench.store_out
+        return self._simulation.store_out
 
 
 class FakeProcess:
-    """A control process: the keeper's steps, one after the other."""
+    """A control process that runs the steps of a domain in sequence."""
 
-    def __init__(self, name: str, bench: "Bench") -> None:
+    def __init__(self, name: str, simulation: "HolderSimulation") -> None:
         self.name = NodeId(name)
         self.frozen = False
-        self._bench = bench
+        self._simulation = simulation
         self.holder = Holder(DOMAIN, _LIMITS)
-        self.holder.configure(FleetIndex(bench.configuration), bench.now)
-        self.store = DomainStore(FakeStore(bench), DOMAIN, self.name, _LEASE_S)
-        self._beats = 0
-        self._life = self._run().__await__()
+        self.holder.configure(FleetIndex(simulation.configuration), simulation.now)
+        self.store = DomainStore(FakeStore(simulation), DOMAIN, self.name, _LEASE_S)
+        self._heartbeats = 0
+        self._coroutine = self._run().__await__()
 
     def step(self) -> None:
-        """Go on to the next place where the process may be frozen."""
-        next(self._life)
+        """Run until the next point at which the process may be frozen."""
+        next(self._coroutine)
 
     async def _run(self) -> None:
         while True:
             await self._keep_lease()
-            await self._ask_engines()
+            await self._poll_engines()
             if self.store.has_lease:
-                await self._hold()
+                await self._plan_domain()
             await Pause()
-            self._bench.publish(self._beat())
+            self._simulation.publish(self._make_heartbeat())
             await Pause()
 
     async def _keep_lease(self) -> None:
-        asked_at = self._bench.now
+        requested_at = self._simulation.now
         if self.store.has_lease:
             renewed = await self.store.renew()
             if isinstance(renewed, Ok):
-                self.holder.renew(asked_at)
+                self.holder.on_lease_renewed(requested_at)
             elif not self.store.has_lease:
-                self.holder.lose()
+                self.holder.end_tenure()
         elif await self.store.take():
-            self.holder.take(asked_at, self._bench.now)
+            self.holder.start_tenure(requested_at, self._simulation.now)
 
-    async def _ask_engines(self) -> None:
-        asked_at = self._bench.now
+    async def _poll_engines(self) -> None:
+        requested_at = self._simulation.now
         answers = [
             (engine.vm, engine.report if engine.alive and not engine.paused else None)
-            for engine in self._bench.engines.values()
+            for engine in self._simulation.engines.values()
         ]
         await Pause()
         for vm, report in answers:
             if report is None:
-                self.holder.note_silence(vm, self._bench.now)
+                self.holder.on_no_answer(vm, self._simulation.now)
             else:
-                self.holder.note_report(report, asked_at)
+                self.holder.on_report(report, requested_at)
 
-    async def _hold(self) -> None:
+    async def _plan_domain(self) -> None:
         if self.holder.needs_plan:
-            found = await self.store.read_plan()
-            if isinstance(found, Err):
+            stored = await self.store.read_plan()
+            if isinstance(stored, Err):
                 return
-            self.holder.read_plan(*found.ok_value)
-            self._bench.publish(self.holder.plan)
+            self.holder.apply_stored_plan(*stored.ok_value)
+            self._simulation.publish(self.holder.plan)
         await Pause()
-        proposal = self.holder.propose(self._bench.now, FleetKnowledge())
+        proposal = self.holder.propose(self._simulation.now, OtherDomainsView())
         await Pause()
-        if proposal is not None and self.holder.may_change(self._bench.now):
-            swapped = await self.store.swap_plan(proposal.plan, proposal.expected)
+        if proposal is not None and self.holder.may_change(self._simulation.now):
+            swapped = await self.store.swap_plan(
+                proposal.plan, proposal.expected_revision
+            )
             if isinstance(swapped, Err):
-                self.holder.doubt_plan()
+                self.holder.invalidate_plan()
             else:
-                self.holder.swapped(proposal, swapped.ok_value)
-                self._bench.publish(self.holder.plan)
-        orders = self.holder.due_orders(self._bench.now)
+                self.holder.on_plan_swapped(proposal, swapped.ok_value)
+                self._simulation.publish(self.holder.plan)
+        orders = self.holder.collect_due_orders(self._simulation.now)
         for order in orders:
             await Pause()
-            if self.holder.may_change(self._bench.now):
-                self._bench.send(order)
-
-    def _beat(self) -> DomainBeat:
-        return make_beat(
-            self.holder.plan, self.holder.seen(), str(self.name), self._bench.now
+            if self.holder.may_change(self._simulation.now):
+                self._simulation.send(order)
+
+    def _make_heartbeat(self) -> DomainHeartbeat:
+        return make_heartbeat(
+            self.holder.plan,
+            self.holder.get_timed_reports(),
+            str(self.name),
+            self._simulation.now,
         )
 
 
-class Bench:
-    """Everything on one clock, with faults to switch on.
+class HolderSimulation:
+    """Processes, engines and a store on one clock, with switchable faults.
 
     Args:
-        fencing: What engines do with an old order.
-        seed: Of the delays.
+        fencing: Whether engines check or ignore the epoch of an order.
+        seed: Seed of the random delays.
     """
 
     def __init__(self, fencing: FencingSupport, seed: int) -> None:
@@ -293,7 +305,7 @@
         self.state = KeyValueState()
         self.store_out = False
         self.lose_answers = 0
-        self._source = Random(seed)
+        self._random = Random(seed)
         self.configuration = _configure(fencing)
         checks = fencing is FencingSupport.CHECKED
         self.engines = {
@@ -302,25 +314,27 @@
             )
             for vm in self.configuration.inventory.vms
         }
-        self.entries = [EvidenceBook(STALE_S), EvidenceBook(STALE_S)]
+        self.entries = [EvidenceTable(STALE_S), EvidenceTable(STALE_S)]
         self._orders: list[tuple[float, Order]] = []
-        self._news: list[tuple[float, float, int, DomainPlan | DomainBeat]] = []
+        self._messages: list[
+            tuple[float, float, int, DomainPlan | DomainHeartbeat]
+        ] = []
         self.processes = [FakeProcess(f"c{k}", self) for k in range(2)]
 
     def send(self, order: Order) -> None:
-        """Let an order arrive within its longest time, maybe twice."""
-        for _ in range(self._source.choice((1, 1, 1, 2))):
-            delay = self._source.uniform(0, ORDER_S * 0.9)
+        """Deliver an order after a random delay, and sometimes twice."""
+        for _ in range(self._random.choice((1, 1, 1, 2))):
+            delay = self._random.uniform(0, ORDER_S * 0.9)
             self._orders.append((self.now + delay, order))
 
-    def publish(self, news: DomainPlan | DomainBeat) -> None:
-        """Let news arrive at each entry process at its own time."""
+    def publish(self, message: DomainPlan | DomainHeartbeat) -> None:
+        """Deliver a message to each entry process after a random delay."""
         for k in range(len(self.entries)):
-            delay = self._source.choice((0.0, 0.1, 0.4))
-            self._news.append((self.now + delay, delay, k, news))
+            delay = self._random.choice((0.0, 0.1, 0.4))
+            self._messages.append((self.now + delay, delay, k, message))
 
     def advance(self, ticks: int) -> None:
-        """Let time pass, and check after each tick."""
+        """Advance the clock, and check the invariants after each tick."""
         for _ in range(ticks):
             self.now += TICK_S
             self.state.lapse(self.now)
@@ -331,32 +345,38 @@
                 for _ in range(_STEPS_A_TICK):
                     if not process.frozen:
                         process.step()
-            self.check()
+            self.check_serving()
 
-    def serving(self, entry: int) -> list[str]:
-        """Return the groups that an entry process would send to."""
-        return [found.group.id for found in self.entries[entry].find_serving(self.now)]
+    def list_serving(self, entry: int) -> list[str]:
+        """Return the groups that an entry process would send requests to."""
+        return [
+            serving.group.id for serving in self.entries[entry].find_serving(self.now)
+        ]
 
-    def check(self) -> None:
-        """Assert that no group serves wrongly anywhere."""
+    def check_serving(self) -> None:
+        """Assert that groups share no VM and serve with all their members."""
         for engine in self.engines.values():
             assert not engine.faults, engine.faults
-        taken: dict[VmId, str] = {}
+        claimed: dict[VmId, str] = {}
         for entry in self.entries:
-            for found in entry.find_serving(self.now):
-                group = found.group
+            for serving in entry.find_serving(self.now):
+                group = serving.group
                 first = self.engines[group.vms[0]]
                 if not self._accepts(first, group.id, group.epoch):
-                    # The engine refuses the request as not run.
+                    # The engine rejects the request without running it.
                     continue
                 for vm in group.vms:
-                    owner = taken.setdefault(vm, group.id)
+                    owner = claimed.setdefault(vm, group.id)
                     assert owner == group.id, f"{vm} serves {owner} and {group.id}"
-                    held = self.engines[vm].held.get((group.id, group.epoch), 0.0)
-                    assert held >= self.now - STALE_S - 2 * TICK_S, f"{vm} is missing"
+                    ready_at = self.engines[vm].last_ready_at.get(
+                        (group.id, group.epoch), 0.0
+                    )
+                    assert ready_at >= self.now - STALE_S - 2 * TICK_S, (
+                        f"{vm} is missing"
+                    )
                     if self.engines[vm].alive and self.engines[vm].report.boot == "b":
-                        kept = self.engines[vm].report.group == group.id
-                        assert kept, f"{vm} was ordered out of serving {group.id}"
+                        in_group = self.engines[vm].report.group == group.id
+                        assert in_group, f"{vm} was ordered out of serving {group.id}"
 
     def _accepts(self, engine: FakeEngine, group: str, epoch: int) -> bool:
         report = engine.report
@@ -364,22 +384,31 @@
         return ready and (report.group, report.epoch) == (group, epoch)
 
     def _deliver(self) -> None:
-        due = [order for at, order in self._orders if at <= self.now]
-        self._orders = [(at, order) for at, order in self._orders if at > self.now]
+        due = [order for arrives_at, order in self._orders if arrives_at <= self.now]
+        self._orders = [
+            (arrives_at, order)
+            for arrives_at, order in self._orders
+            if arrives_at > self.now
+        ]
         for order in due:
             if not self.engines[order.vm].paused:
                 self.engines[order.vm].follow(order, self.now)
-        arrived = [found for found in self._news if found[0] <= self.now]
-        self._news = [found for found in self._news if found[0] > self.now]
-        for _, delay, k, news in arrived:
-            if isinstance(news, DomainPlan):
-                self.entries[k].take_plan(news)
+        arrived = [delivery for delivery in self._messages if delivery[0] <= self.now]
+        self._messages = [
+            delivery for delivery in self._messages if delivery[0] > self.now
+        ]
+        for _, delay, k, message in arrived:
+            if isinstance(message, DomainPlan):
+                self.entries[k].apply_plan(message)
             else:
-                self.entries[k].take_beat(news, delay, self.now)
+                self.entries[k].apply_heartbeat(message, delay, self.now)
 
 
 def _configure(fencing: FencingSupport) -> Configuration:
-    """Two rivals' models on one owner's five VMs."""
+    """Return a configuration of two models on one owner's five VMs.
+
+    The models belong to different customers.
+    """
     models = (make_model("x", 2, 1, 2, "a"), make_model("y", 1, 1, 1, "b"))
     made = make_configuration(make_vms("d0", "sssss"), models, {"a": "s", "b": "s"})
     rules = replace(made.rules, fencing=fencing, weight_store_gb_per_s=1000.0)
--- a/tests/test_repair_bounds.py
+++ b/tests/test_repair_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on both measures of repair and on the planner's work."""
+"""Bounds on both measures of repair and on the cost of planning."""
 
 import pytest
 from benchmarks.beats import measure_evidence
@@ -29,7 +29,7 @@
 
 
 def test_evidence_of_the_coming_fleet_fits_the_nodes_budget() -> None:
-    """Sent to three peers every two seconds, it takes under half of 4 KB/s."""
+    """Sent to three peers every two seconds, it uses under half of 4 KB/s."""
     cost = measure_evidence(FleetSize.COMING)
     assert cost.beat_bytes * 3 / 2 < 2000
     assert cost.beat_bytes * 20 < cost.report_bytes
