--- a/benchmarks/capacity_gossip.py
+++ b/benchmarks/capacity_gossip.py
@@ -12,7 +12,7 @@
 from functools import partial
 
 import msgspec
-from tests.configuration_net import ConfigurationNet, make_configuration
+from tests.configuration_net import ConfigurationNetwork, make_configuration
 
 from benchmarks.measurements import keep_rows
 from zinniaspool.core.configuration import split_parts
@@ -82,7 +82,7 @@
 
 def measure_gossip(nodes: int, seed: int = 1) -> GossipRow:
     """Start, idle and change one fleet."""
-    net = ConfigurationNet(seed)
+    net = ConfigurationNetwork(seed)
     first = _make(0)
     newest = net.accept(first)
     started = _start_all(net, nodes, newest)
@@ -119,22 +119,22 @@
     return make_configuration(change, customers=30, vms=600, domains=19)
 
 
-def _start_all(net: ConfigurationNet, nodes: int, revision: Revision) -> _Started:
+def _start_all(net: ConfigurationNetwork, nodes: int, revision: Revision) -> _Started:
     for k in range(nodes):
         _start(net, k)
     began, peak = net.now, 0
-    while not (net.has_everywhere(revision) and len(net.followers) == nodes):
+    while not (net.is_active_everywhere(revision) and len(net.followers) == nodes):
         before = _count_calls(net.calls)
         net.run(1.0)
         peak = max(peak, _count_calls(net.calls) - before)
     return _Started(net.now - began, peak)
 
 
-def _start(net: ConfigurationNet, k: int) -> None:
+def _start(net: ConfigurationNetwork, k: int) -> None:
     net.start(f"n{k}", _SEEDS, domain=f"domain{k % _DOMAINS}")
 
 
-def _run_changes(net: ConfigurationNet, nodes: int) -> _Changed:
+def _run_changes(net: ConfigurationNetwork, nodes: int) -> _Changed:
     """Accept changes at the coming rate, and restart at its rate a node."""
     pause_s = _DAY_S / _CHANGES_A_DAY
     restarts = nodes * _BUSY_S * _RESTARTS_A_DAY / _COMING_NODES / _DAY_S
@@ -150,7 +150,7 @@
         before = _count_calls(net.calls)
         revision = net.accept(_make(change))
         slowest = max(
-            slowest, net.run_until(partial(net.has_everywhere, revision), 60.0)
+            slowest, net.run_until(partial(net.is_active_everywhere, revision), 60.0)
         )
         calls += _count_calls(net.calls) - before
         net.run(pause_s - (net.now - began))
@@ -158,7 +158,7 @@
     return _Changed(slowest, calls / changes)
 
 
-def _clear(net: ConfigurationNet) -> None:
+def _clear(net: ConfigurationNetwork) -> None:
     net.sent_bytes.clear()
     net.messages.clear()
     net.calls.clear()
--- a/benchmarks/capacity_state.py
+++ b/benchmarks/capacity_state.py
@@ -15,16 +15,16 @@
 from tests.configuration_net import make_configuration
 
 from benchmarks.measurements import keep_rows
-from zinniaspool.core.configuration import PartHash, name_parts, split_parts
-from zinniaspool.core.configuration.holding import Holding, Manifest
+from zinniaspool.core.configuration import PartHash, hash_parts, split_parts
+from zinniaspool.core.configuration.holding import LocalConfiguration, Manifest
 from zinniaspool.core.ids import Address, FailureDomainId, Incarnation, NodeId, Revision
 from zinniaspool.core.membership import (
-    GossipMachine,
+    GossipStateMachine,
     MemberRecord,
     MemberState,
     Role,
 )
-from zinniaspool.core.membership.members import Standing, encode_record, make_version
+from zinniaspool.core.membership.members import Liveness, encode_record, make_version
 from zinniaspool.core.membership.notices import Topic
 from zinniaspool.core.messages.configuration import PartContent
 from zinniaspool.core.messages.membership import WireNotice
@@ -68,22 +68,22 @@
     return held
 
 
-def _make_members(items: int) -> GossipMachine:
+def _make_members(items: int) -> GossipStateMachine:
     source = random.Random(1)
-    machine = GossipMachine(_make_record(0), [], source, 0.0)
+    machine = GossipStateMachine(_make_record(0), [], source, 0.0)
     notices = [
         WireNotice(
             Topic.MEMBERS.value,
             f"entry{k}",
-            make_version(1_790_000_000_000 + k, Standing.ANSWERS),
+            make_version(1_790_000_000_000 + k, Liveness.RESPONSIVE),
             encode_record(_make_record(k)),
             0.0,
             1e9,
         )
         for k in range(1, items)
     ]
-    machine.roster.take(notices, 0.0)
-    machine.take_fresh()
+    machine.roster.apply_notices(notices, 0.0)
+    machine.drain_new_notices()
     machine.roster.list_peers()
     return machine
 
@@ -106,14 +106,14 @@
     contents = split_parts(
         make_configuration(0, customers=30, vms=items, domains=max(1, items // 32))
     )
-    names = name_parts(contents)
-    holding = Holding()
-    holding.want(Manifest(Revision(1), names))
+    names = hash_parts(contents)
+    holding = LocalConfiguration()
+    holding.set_pending(Manifest(Revision(1), names))
     holding.add_parts(
         PartContent(PartHash(names[name]), content)
         for name, content in contents.items()
     )
-    return holding, holding.settle()
+    return holding, holding.activate_pending()
 
 
 def main() -> None:
--- a/src/zinniaspool/cli/waiting.py
+++ b/src/zinniaspool/cli/waiting.py
@@ -65,7 +65,7 @@
 def _sum_up(found: list[MemberRevision] | None, revision: Revision) -> Lag:
     if found is None:
         return Lag(0, None, ())
-    live = [each for each in found if each.state is not MemberState.SILENT]
+    live = [each for each in found if each.state is not MemberState.UNRESPONSIVE]
     behind = [each.node for each in live if (each.revision or 0) < revision]
-    silent = [each.node for each in found if each.state is MemberState.SILENT]
+    silent = [each.node for each in found if each.state is MemberState.UNRESPONSIVE]
     return Lag(len(live) - len(behind), tuple(behind), tuple(silent))
--- a/src/zinniaspool/core/configuration/__init__.py
+++ b/src/zinniaspool/core/configuration/__init__.py
@@ -1,4 +1,9 @@
-"""The operators' configuration: its parts, their order, what is in force."""
+"""The operators' configuration: its parts, and how processes follow it.
+
+Operators accept a configuration by writing its parts and one root that names
+them to the store. Every process follows the accepted root and activates each
+new configuration as a whole.
+"""
 
 from zinniaspool.core.configuration.differences import (
     DifferenceKind,
@@ -6,14 +11,14 @@
     compare_parts,
 )
 from zinniaspool.core.configuration.following import (
+    ActivateConfiguration,
     Announce,
-    AskPeer,
     FollowAction,
     FollowLimits,
-    FollowMachine,
-    PutInForce,
+    FollowStateMachine,
     ReadPart,
     ReadRoot,
+    SendPeerRequest,
     WatchRoot,
 )
 from zinniaspool.core.configuration.parts import (
@@ -26,9 +31,9 @@
     decode_root,
     encode_root,
     hash_content,
-    history_key,
+    hash_parts,
     join_parts,
-    name_parts,
+    make_history_key,
     split_parts,
 )
 
@@ -36,26 +41,26 @@
     "HISTORY_PREFIX",
     "PART_PREFIX",
     "ROOT_KEY",
+    "ActivateConfiguration",
     "Announce",
-    "AskPeer",
     "DifferenceKind",
     "FollowAction",
     "FollowLimits",
-    "FollowMachine",
+    "FollowStateMachine",
     "PartDifference",
     "PartHash",
     "PartName",
-    "PutInForce",
     "ReadPart",
     "ReadRoot",
     "Root",
+    "SendPeerRequest",
     "WatchRoot",
     "compare_parts",
     "decode_root",
     "encode_root",
     "hash_content",
-    "history_key",
+    "hash_parts",
     "join_parts",
-    "name_parts",
+    "make_history_key",
     "split_parts",
 ]
--- a/src/zinniaspool/core/configuration/differences.py
+++ b/src/zinniaspool/core/configuration/differences.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, for a person."""
+"""Lists the differences between two configurations, for operators."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class DifferenceKind(Enum):
-    """What happened to a part."""
+    """How a part differs between two configurations."""
 
     ADDED = "+"
     REMOVED = "-"
@@ -27,9 +27,9 @@
     """One part that differs.
 
     Attributes:
-        kind: What happened to it.
-        part: Its name.
-        lines: For a changed part, each value that differs, as
+        kind: How the part differs.
+        part: Name of the part.
+        lines: For a changed part, one line for each value that differs, as
             ``path: old -> new``.
     """
 
@@ -38,15 +38,15 @@
     lines: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        text = [f"{self.kind.value} {self.part}"]
-        text += [f"    {line}" for line in self.lines]
-        return "\n".join(text)
+        output_lines = [f"{self.kind.value} {self.part}"]
+        output_lines += [f"    {line}" for line in self.lines]
+        return "\n".join(output_lines)
 
 
 def compare_parts(
     before: Mapping[PartName, str], after: Mapping[PartName, str]
 ) -> list[PartDifference]:
-    """Return what differs from one set of parts to another, by name."""
+    """Return the parts that differ between two configurations, by name."""
     differences = []
     for name in sorted({*before, *after}):
         if name not in before:
@@ -54,51 +54,61 @@
         elif name not in after:
             differences.append(PartDifference(DifferenceKind.REMOVED, name))
         elif before[name] != after[name]:
-            lines = tuple(_compare(_read(before[name]), _read(after[name]), path=""))
+            lines = tuple(
+                _list_differences(_decode(before[name]), _decode(after[name]), path="")
+            )
             differences.append(PartDifference(DifferenceKind.CHANGED, name, lines))
     return differences
 
 
-def _read(content: str) -> Any:
+def _decode(content: str) -> Any:
     return msgspec.json.decode(content)
 
 
-def _compare(before: Any, after: Any, path: str) -> Iterator[str]:
+def _list_differences(before: Any, after: Any, path: str) -> Iterator[str]:
     if before == after:
         return
     if isinstance(before, dict) and isinstance(after, dict):
-        yield from _compare_items(before, after, path)
+        yield from _list_item_differences(before, after, path)
         return
     if isinstance(before, list) and isinstance(after, list):
-        yield from _compare_items(_index(before), _index(after), path)
+        yield from _list_item_differences(
+            _index_by_name(before), _index_by_name(after), path
+        )
         return
-    yield f"{path}: {_write(before)} -> {_write(after)}"
+    yield f"{path}: {_format_value(before)} -> {_format_value(after)}"
 
 
-def _compare_items(
+def _list_item_differences(
     before: dict[str, Any], after: dict[str, Any], path: str
 ) -> Iterator[str]:
     for key in sorted({*before, *after}):
-        inner = f"{path}.{key}" if path else key
+        item_path = f"{path}.{key}" if path else key
         if key not in before:
-            yield f"{inner}: {_ABSENT} -> {_write(after[key])}"
+            yield f"{item_path}: {_ABSENT} -> {_format_value(after[key])}"
         elif key not in after:
-            yield f"{inner}: {_write(before[key])} -> {_ABSENT}"
+            yield f"{item_path}: {_format_value(before[key])} -> {_ABSENT}"
         else:
-            yield from _compare(before[key], after[key], inner)
+            yield from _list_differences(before[key], after[key], item_path)
 
 
-def _index(items: list[Any]) -> dict[str, Any]:
-    """Return a list's items by what names them: a move is no change."""
-    named = {}
-    for place, item in enumerate(items):
+def _index_by_name(items: list[Any]) -> dict[str, Any]:
+    """Return a list's items by name, so that their order does not matter.
+
+    An item without a name is indexed by its position. If two names are equal,
+    all items are indexed by position.
+    """
+    items_by_name = {}
+    for position, item in enumerate(items):
         name = _find_name(item)
-        named[name if name is not None else f"{place}"] = item
-    return named if len(named) == len(items) else _number(items)
+        items_by_name[name if name is not None else f"{position}"] = item
+    return (
+        items_by_name if len(items_by_name) == len(items) else _index_by_position(items)
+    )
 
 
-def _number(items: list[Any]) -> dict[str, Any]:
-    return {f"{place}": item for place, item in enumerate(items)}
+def _index_by_position(items: list[Any]) -> dict[str, Any]:
+    return {f"{position}": item for position, item in enumerate(items)}
 
 
 def _find_name(item: Any) -> str | None:
@@ -110,5 +120,5 @@
     return None
 
 
-def _write(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return msgspec.json.encode(value).decode()
--- a/src/zinniaspool/core/configuration/following.py
+++ b/src/zinniaspool/core/configuration/following.py
@@ -1,18 +1,18 @@
 """How a process follows the accepted configuration.
 
-A few processes of each failure domain watch the store; what they see spreads
-by notices, and the parts that changed are asked from peers. Every process
-looks at the store itself now and then, so that no failure of the others can
-keep it behind for long.
+A few processes of each failure domain watch the store. What they see spreads
+by notices, and the other processes request the changed parts from peers.
+Every process also polls the store itself now and then, so that no failure of
+other processes can keep it behind for long.
 """
 
 import random
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from zinniaspool.core.configuration.holding import Holding, Manifest
+from zinniaspool.core.configuration.holding import LocalConfiguration, Manifest
 from zinniaspool.core.configuration.parts import PartHash, Root
-from zinniaspool.core.configuration.votes import StartVote
+from zinniaspool.core.configuration.votes import StartupVote
 from zinniaspool.core.configuration.watchers import is_watcher
 from zinniaspool.core.deployment import Configuration
 from zinniaspool.core.ids import Address, NodeId, Revision
@@ -25,72 +25,99 @@
 )
 
 __all__ = [
+    "ActivateConfiguration",
     "Announce",
-    "AskPeer",
     "FollowAction",
     "FollowLimits",
-    "FollowMachine",
-    "PutInForce",
+    "FollowStateMachine",
     "ReadPart",
     "ReadRoot",
+    "SendPeerRequest",
     "WatchRoot",
 ]
 
 
 @dataclass(frozen=True, slots=True)
 class FollowLimits:
-    """Paces of following, all in seconds but the counts.
+    """Intervals and sizes of following; times are in seconds.
 
     Attributes:
-        check_in_s: Mean time between two looks of a process that does not
-            watch.
-        retry_s: First pause after a failed call to the store.
-        most_retry_s: Longest such pause.
-        spread_s: Longest wait of a watcher at the start before it reads
-            parts from the store.
-        join_s: Longest wait at the start for peers to be known.
-        fetch_s: First pause between two questions for parts; it grows with
-            each that brought none.
-        most_fetch_s: Longest such pause.
-        peer_tries: Questions to peers before the store is asked for parts.
-        store_parts: Parts read from the store at a time.
-        asked_in_vote: Peers asked at a time at a start without the store.
+        mean_poll_interval_s: Mean time between two reads of the root by a
+            process that does not watch.
+        first_retry_pause_s: Base of the pause after a failed call to the
+            store; the pause grows with each failure.
+        max_retry_pause_s: Longest such pause.
+        max_part_read_delay_s: Longest time that a starting watcher waits
+            before it reads parts from the store.
+        max_join_wait_s: Longest time that a starting process waits until
+            peers are known.
+        first_fetch_pause_s: Base of the pause between two requests for parts;
+            the pause grows with each request that brought none.
+        max_fetch_pause_s: Longest such pause before it is randomized.
+        max_peer_fetches: Requests to peers before parts are read from the
+            store.
+        max_parts_per_store_read: Parts read from the store at a time.
+        max_vote_requests: Peers whose revision is requested at a time by a
+            process that starts without the store.
     """
 
-    check_in_s: float = 90.0
-    retry_s: float = 0.5
-    most_retry_s: float = 15.0
-    spread_s: float = 3.0
-    join_s: float = 2.0
-    fetch_s: float = 0.2
-    most_fetch_s: float = 15.0
-    peer_tries: int = 8
-    store_parts: int = 16
-    asked_in_vote: int = 8
+    mean_poll_interval_s: float = 90.0
+    first_retry_pause_s: float = 0.5
+    max_retry_pause_s: float = 15.0
+    max_part_read_delay_s: float = 3.0
+    max_join_wait_s: float = 2.0
+    first_fetch_pause_s: float = 0.2
+    max_fetch_pause_s: float = 15.0
+    max_peer_fetches: int = 8
+    max_parts_per_store_read: int = 16
+    max_vote_requests: int = 8
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRoot:
-    """Read the root from the store; ends in ``take_root``."""
+    """Action: read the root from the store.
+
+    The result goes to ``handle_root`` or ``handle_store_failure``.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class WatchRoot:
-    """Wait for a root later than a revision; ends in ``take_root``."""
+    """Action: watch the store for a root newer than a revision.
+
+    The result goes to ``handle_root`` or ``handle_store_failure``.
+
+    Attributes:
+        after: Revision of the newest root that is already known.
+    """
 
     after: Revision
 
 
 @dataclass(frozen=True, slots=True)
 class ReadPart:
-    """Read a part from the store; ends in ``take_part``."""
+    """Action: read a part from the store.
+
+    The result goes to ``handle_part``.
+
+    Attributes:
+        part: Hash of the part.
+    """
 
     part: PartHash
 
 
 @dataclass(frozen=True, slots=True)
-class AskPeer:
-    """Ask a peer; ends in ``take_peer``."""
+class SendPeerRequest:
+    """Action: send a request to a peer.
+
+    The result goes to ``handle_peer_response``.
+
+    Attributes:
+        node: Member that must listen at the address.
+        address: Address that receives the request.
+        message: The request.
+    """
 
     node: NodeId
     address: Address
@@ -99,247 +126,302 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Tell the fleet."""
+    """Action: publish an announcement to the fleet.
+
+    Attributes:
+        announcement: Names the newest known revision.
+    """
 
     announcement: Announcement
 
 
 @dataclass(frozen=True, slots=True)
-class PutInForce:
-    """The configuration that is in force from now on."""
+class ActivateConfiguration:
+    """Action: use a configuration from now on.
+
+    Attributes:
+        configuration: The new active configuration.
+        revision: Its revision.
+    """
 
     configuration: Configuration
     revision: Revision
 
 
-FollowAction = ReadRoot | WatchRoot | ReadPart | AskPeer | Announce | PutInForce
+FollowAction = (
+    ReadRoot | WatchRoot | ReadPart | SendPeerRequest | Announce | ActivateConfiguration
+)
 
 
-class FollowMachine:
-    """One process's view of the accepted configuration.
+class FollowStateMachine:
+    """Follows the accepted configuration in one process, without I/O.
+
+    A process that has never reached the store doesn't activate anything
+    until a vote among the members confirms a revision.
 
     Args:
-        node: This process.
-        seeds: Peer addresses that the process is told at the start.
-        source: The random source.
-        now: Seconds.
-        limits: Paces.
+        node: Name of this process.
+        seeds: Peer addresses from the settings of this process.
+        rng: Random source.
+        now: Current time in seconds.
+        limits: Intervals and sizes.
+
+    Attributes:
+        limits: Intervals and sizes.
+        local: The active and the pending configuration of this process.
+        watches: Whether this process watches the store for its failure
+            domain.
     """
 
     def __init__(
         self,
         node: NodeId,
         seeds: Sequence[Address],
-        source: random.Random,
+        rng: random.Random,
         now: float,
         limits: FollowLimits | None = None,
     ) -> None:
         self.limits = limits or FollowLimits()
-        self.holding = Holding()
+        self.local = LocalConfiguration()
         self.watches = False
         self._node = node
-        self._source = source
+        self._rng = rng
         self._started_at = now
-        self._vote = StartVote(seeds)
-        self._vouched = False
-        self._store_busy = False
+        self._vote = StartupVote(seeds)
+        self._is_confirmed = False
+        self._store_call_open = False
         self._store_failures = 0
-        self._store_at = now
-        self._fetching = 0
-        self._fetch_at = now
-        self._tries = 0
-        self._parts_at = now + self.limits.spread_s * source.random()
-        self._announced = Revision(0)
-        self._wanted_from = Revision(0)
-        self._read_at_first = True
-        self._elected_from: Sequence[Member] | None = None
+        self._next_store_call_at = now
+        self._open_fetches = 0
+        self._next_fetch_at = now
+        self._fetch_attempts = 0
+        self._part_reads_allowed_at = (
+            now + self.limits.max_part_read_delay_s * rng.random()
+        )
+        self._announced_revision = Revision(0)
+        self._min_wanted_revision = Revision(0)
+        self._must_read_root = True
+        self._ranked_members: Sequence[Member] | None = None
 
     @property
     def revision(self) -> Revision:
-        """The revision in force; 0 for none."""
-        return self.holding.revision
+        """The active revision; 0 for none."""
+        return self.local.revision
 
     def step(
         self, now: float, members: Sequence[Member], *, joined: bool
     ) -> list[FollowAction]:
-        """Return what is due; call it several times a second.
+        """Return the actions that are due; call it several times a second.
 
         Args:
-            now: Seconds.
-            members: The members known, this process among them.
-            joined: Whether a peer has told all it knows.
+            now: Current time in seconds.
+            members: The known members, including this process.
+            joined: Whether this process has received all notices of a peer.
         """
-        if not joined and now - self._started_at < self.limits.join_s:
+        if not joined and now - self._started_at < self.limits.max_join_wait_s:
             return []
-        self._elect(members, now)
-        actions = self._step_store(now)
-        actions += self._step_fetch(now, members)
-        if not self._vouched and self._store_failures:
-            actions += self._step_vote(now, members)
+        self._update_watcher_role(members, now)
+        actions = self._start_store_call(now)
+        actions += self._start_fetch(now, members)
+        if not self._is_confirmed and self._store_failures:
+            actions += self._request_votes(now, members)
         return actions
 
-    def take_notice(self, announcement: Announcement, now: float) -> list[FollowAction]:
-        """Take a peer's word that a revision was accepted."""
-        if announcement.revision <= self.holding.known_revision:
+    def handle_announcement(
+        self, announcement: Announcement, now: float
+    ) -> list[FollowAction]:
+        """Handle a peer's announcement that a revision was accepted."""
+        if announcement.revision <= self.local.known_revision:
             return []
-        if not self.holding.want_announced(announcement):
-            self._wanted_from = max(self._wanted_from, announcement.revision)
-        self._hurry(now)
-        return self._settle(now)
-
-    def take_root(
+        if not self.local.set_pending_from_announcement(announcement):
+            self._min_wanted_revision = max(
+                self._min_wanted_revision, announcement.revision
+            )
+        self._fetch_without_pause(now)
+        return self._announce_and_activate(now)
+
+    def handle_root(
         self, revision: Revision, root: Root | None, now: float
     ) -> list[FollowAction]:
-        """Take what the store answered; no root when it is unchanged."""
-        self._store_busy = False
+        """Handle a response from the store about the root.
+
+        Args:
+            revision: Revision of the root.
+            root: The root; None if it is unchanged or there is none.
+            now: Current time in seconds.
+        """
+        self._store_call_open = False
         self._store_failures = 0
-        self._read_at_first = False
-        self._store_at = now if self.watches else now + self._draw_check_in()
-        self._vouched = True
-        if root is not None and self.holding.want(Manifest(revision, root.parts)):
-            self._hurry(now)
-        return self._settle(now)
-
-    def take_store_failure(self, now: float) -> None:
-        """Note that a read or watch of the root failed."""
-        self._store_busy = False
+        self._must_read_root = False
+        self._next_store_call_at = (
+            now if self.watches else now + self._draw_poll_interval()
+        )
+        self._is_confirmed = True
+        if root is not None and self.local.set_pending(Manifest(revision, root.parts)):
+            self._fetch_without_pause(now)
+        return self._announce_and_activate(now)
+
+    def handle_store_failure(self, now: float) -> None:
+        """Handle the failure of a read or watch of the root."""
+        self._store_call_open = False
         self._store_failures += 1
-        self._read_at_first = True
-        # All processes see an outage end at about the same time. Pauses
-        # drawn at random over a growing range keep them from coming back at
-        # once, which would exceed the store's limit and fail them again.
+        self._must_read_root = True
+        # All processes see an outage end at about the same time. Random
+        # pauses over a growing range keep them from retrying at once, which
+        # would exceed the store's limit and make the calls fail again.
         longest = min(
-            self.limits.most_retry_s,
-            self.limits.retry_s * 2 ** min(self._store_failures, 10),
+            self.limits.max_retry_pause_s,
+            self.limits.first_retry_pause_s * 2 ** min(self._store_failures, 10),
         )
-        self._store_at = now + longest * (0.1 + 0.9 * self._source.random())
+        self._next_store_call_at = now + longest * (0.1 + 0.9 * self._rng.random())
 
-    def take_part(
+    def handle_part(
         self, part: PartHash, content: str | None, now: float
     ) -> list[FollowAction]:
-        """Take a part that the store answered with, or None."""
-        self._fetching -= 1
+        """Handle a part read from the store; None if it could not be read."""
+        self._open_fetches -= 1
         if content is not None:
-            self._tries = 0
-            self.holding.add_parts((PartContent(part, content),))
-        return self._settle(now)
+            self._fetch_attempts = 0
+            self.local.add_parts((PartContent(part, content),))
+        return self._announce_and_activate(now)
 
-    def take_peer(
-        self, ask: AskPeer, answer: ConfigurationResponse | None, now: float
+    def handle_peer_response(
+        self,
+        request: SendPeerRequest,
+        response: ConfigurationResponse | None,
+        now: float,
     ) -> list[FollowAction]:
-        """Take a peer's answer, or None when none came."""
-        if ask.message == _VOTE_ASK:
-            self._vote.take(ask.node, answer.in_force if answer else None)
-            return self._settle(now)
-        self._fetching -= 1
-        if answer is None:
+        """Handle a peer's response; None if none arrived."""
+        if request.message == _VOTE_REQUEST:
+            self._vote.record_vote(
+                request.node, response.in_force if response else None
+            )
+            return self._announce_and_activate(now)
+        self._open_fetches -= 1
+        if response is None:
             return []
-        if answer.manifest_revision:
-            self.holding.want(Manifest(answer.manifest_revision, answer.manifest))
-        missing = len(self.holding.list_missing())
-        self.holding.add_parts(answer.parts)
-        if len(self.holding.list_missing()) < missing:
-            self._tries = 0
-        return self._settle(now)
-
-    def _elect(self, members: Sequence[Member], now: float) -> None:
-        # Ranking all members costs time, and they seldom change.
-        if members is self._elected_from:
+        if response.manifest_revision:
+            self.local.set_pending(
+                Manifest(response.manifest_revision, response.manifest)
+            )
+        missing = len(self.local.list_missing_parts())
+        self.local.add_parts(response.parts)
+        if len(self.local.list_missing_parts()) < missing:
+            self._fetch_attempts = 0
+        return self._announce_and_activate(now)
+
+    def _update_watcher_role(self, members: Sequence[Member], now: float) -> None:
+        # Ranking all members costs time, and the members seldom change.
+        if members is self._ranked_members:
             return
-        self._elected_from = members
+        self._ranked_members = members
         watches = is_watcher(self._node, members)
         if watches and not self.watches and not self._store_failures:
-            self._store_at = min(self._store_at, now)
+            self._next_store_call_at = min(self._next_store_call_at, now)
         self.watches = watches
 
-    def _step_store(self, now: float) -> list[FollowAction]:
-        if self._store_busy or now < self._store_at:
+    def _start_store_call(self, now: float) -> list[FollowAction]:
+        if self._store_call_open or now < self._next_store_call_at:
             return []
-        self._store_busy = True
-        if self.watches and not self._read_at_first:
-            return [WatchRoot(self.holding.known_revision)]
+        self._store_call_open = True
+        if self.watches and not self._must_read_root:
+            return [WatchRoot(self.local.known_revision)]
         return [ReadRoot()]
 
-    def _step_fetch(self, now: float, members: Sequence[Member]) -> list[FollowAction]:
-        missing = self.holding.list_missing()
-        unknown = self._wanted_from > self.holding.known_revision
-        if not (missing or unknown) or self._fetching or now < self._fetch_at:
+    def _start_fetch(self, now: float, members: Sequence[Member]) -> list[FollowAction]:
+        missing = self.local.list_missing_parts()
+        unknown = self._min_wanted_revision > self.local.known_revision
+        if not (missing or unknown) or self._open_fetches or now < self._next_fetch_at:
             return []
-        self._fetch_at = now + self._draw_fetch_pause()
+        self._next_fetch_at = now + self._draw_fetch_pause()
         peers = [
             member
             for member in members
-            if member.node != self._node and member.state is not MemberState.SILENT
+            if member.node != self._node
+            and member.state is not MemberState.UNRESPONSIVE
         ]
-        self._tries += 1
+        self._fetch_attempts += 1
         if missing and self._may_read_parts(now, alone=not peers):
             return self._read_parts(missing)
         if not peers:
             return []
-        peer = self._source.choice(peers)
-        self._fetching = 1
-        wanted_from = self._wanted_from if unknown else Revision(0)
+        peer = self._rng.choice(peers)
+        self._open_fetches = 1
+        wanted_from = self._min_wanted_revision if unknown else Revision(0)
         message = ConfigurationRequest(wanted_from, tuple(missing))
-        return [AskPeer(peer.node, peer.peer_address, message)]
+        return [SendPeerRequest(peer.node, peer.peer_address, message)]
 
     def _may_read_parts(self, now: float, *, alone: bool) -> bool:
-        """Return whether the store may be asked for parts.
+        """Return whether this process may read parts from the store.
 
-        When a whole fleet starts at once, each process at first knows too
-        few others and takes itself for a watcher; all of them reading every
-        part exceeds the store's limit several times. So each waits for a
-        time drawn at random, within which the first ones have parts to give.
+        When a whole fleet starts at once, each process at first knows too few
+        others and considers itself a watcher. If all of them read every part,
+        they would exceed the store's limit several times over. So each waits
+        for a random time, after which the first processes can provide parts.
         """
         if self._store_failures:
             return False
-        if self.watches and (alone or now >= self._parts_at):
+        if self.watches and (alone or now >= self._part_reads_allowed_at):
             return True
-        return self._tries > self.limits.peer_tries
+        return self._fetch_attempts > self.limits.max_peer_fetches
 
     def _read_parts(self, missing: list[PartHash]) -> list[FollowAction]:
-        chosen = missing[: self.limits.store_parts]
-        self._fetching = len(chosen)
-        return [ReadPart(part) for part in chosen]
+        requested = missing[: self.limits.max_parts_per_store_read]
+        self._open_fetches = len(requested)
+        return [ReadPart(part) for part in requested]
 
-    def _step_vote(self, now: float, members: Sequence[Member]) -> list[FollowAction]:
-        others = [member for member in members if member.node != self._node]
-        asked = self._vote.choose(others, self.limits.asked_in_vote, now, self._source)
+    def _request_votes(
+        self, now: float, members: Sequence[Member]
+    ) -> list[FollowAction]:
+        other_members = [member for member in members if member.node != self._node]
+        voters = self._vote.choose_voters(
+            other_members, self.limits.max_vote_requests, now, self._rng
+        )
         return [
-            AskPeer(member.node, member.peer_address, _VOTE_ASK) for member in asked
+            SendPeerRequest(member.node, member.peer_address, _VOTE_REQUEST)
+            for member in voters
         ]
 
-    def _settle(self, now: float) -> list[FollowAction]:
+    def _announce_and_activate(self, now: float) -> list[FollowAction]:
         actions: list[FollowAction] = []
-        announcement = self.holding.announce()
-        if announcement is not None and announcement.revision > self._announced:
-            self._announced = announcement.revision
+        announcement = self.local.make_announcement()
+        if (
+            announcement is not None
+            and announcement.revision > self._announced_revision
+        ):
+            self._announced_revision = announcement.revision
             actions.append(Announce(announcement))
-        if not self._vouched:
+        if not self._is_confirmed:
             decided = self._vote.decide()
-            if decided is None or decided > self.holding.known_revision:
-                self._wanted_from = max(self._wanted_from, decided or Revision(0))
+            if decided is None or decided > self.local.known_revision:
+                self._min_wanted_revision = max(
+                    self._min_wanted_revision, decided or Revision(0)
+                )
                 return actions
-            self._vouched = True
-        configuration = self.holding.settle()
+            self._is_confirmed = True
+        configuration = self.local.activate_pending()
         if configuration is not None:
-            self._tries = 0
-            actions.append(PutInForce(configuration, self.revision))
+            self._fetch_attempts = 0
+            actions.append(ActivateConfiguration(configuration, self.revision))
         return actions
 
-    def _hurry(self, now: float) -> None:
-        self._tries = 0
-        self._fetch_at = now
+    def _fetch_without_pause(self, now: float) -> None:
+        self._fetch_attempts = 0
+        self._next_fetch_at = now
 
     def _draw_fetch_pause(self) -> float:
-        # Parts that are nowhere to be had must not be asked for by a whole
-        # fleet several times a second.
-        pause_s = self.limits.fetch_s * _FETCH_GROWTH ** min(self._tries, 20)
-        return min(pause_s, self.limits.most_fetch_s) * (0.5 + self._source.random())
+        # If a part is not available anywhere, the whole fleet must not
+        # request it several times a second.
+        pause_s = self.limits.first_fetch_pause_s * _FETCH_PAUSE_GROWTH ** min(
+            self._fetch_attempts, 20
+        )
+        return min(pause_s, self.limits.max_fetch_pause_s) * (0.5 + self._rng.random())
 
-    def _draw_check_in(self) -> float:
-        return self.limits.check_in_s * (0.5 + self._source.random())
+    def _draw_poll_interval(self) -> float:
+        return self.limits.mean_poll_interval_s * (0.5 + self._rng.random())
 
 
-_FETCH_GROWTH = 1.5
-"""Factor by which the pause grows with each failed fetch; chosen."""
-_VOTE_ASK = ConfigurationRequest()
+_FETCH_PAUSE_GROWTH = 1.5
+"""Factor by which the pause grows with each failed fetch."""
+_VOTE_REQUEST = ConfigurationRequest()
+"""Requests only the active revision of a peer."""
--- a/src/zinniaspool/core/configuration/holding.py
+++ b/src/zinniaspool/core/configuration/holding.py
@@ -1,4 +1,4 @@
-"""The configuration that a process holds, and the newer one it gathers."""
+"""The active configuration of a process and the pending one it gathers."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -20,17 +20,24 @@
     PartContent,
 )
 
-__all__ = ["Holding", "Manifest"]
+__all__ = ["LocalConfiguration", "Manifest"]
 
-_MOST_CHANGED = 16
-"""Parts that an answer names one by one; more are told as a whole."""
-_MOST_ANSWER_BYTES = 256 * 1024
-"""Bytes of one answer between peers, a few milliseconds of a link."""
+_MAX_ANNOUNCED_CHANGES = 16
+"""Maximum number of changed parts that an announcement names one by one; if
+more changed, peers request the whole manifest."""
+_MAX_RESPONSE_BYTES = 256 * 1024
+"""Maximum size of the parts in one response to a peer; it occupies a link for
+a few milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """The parts of one accepted configuration, without their contents."""
+    """The parts of one accepted configuration, without their contents.
+
+    Attributes:
+        revision: Revision of the root that names the parts.
+        parts: Hash of each part's content, by the part's name.
+    """
 
     revision: Revision
     parts: Mapping[PartName, PartHash]
@@ -42,45 +49,59 @@
         return hash_content(encoded.decode())
 
 
-class Holding:
-    """What is in force in a process, and what is to be.
+class LocalConfiguration:
+    """The active configuration of one process and the pending newer one.
+
+    The pending configuration is activated as a whole, once its last part has
+    arrived, and it never replaces one with a higher revision.
 
-    A newer configuration comes in force as a whole, when its last part is
-    there, and never in place of one with a higher revision.
+    Attributes:
+        active: The configuration in effect; None before the first.
+        pending: The newest known configuration while parts of it may still be
+            missing; None if no newer one than the active is known.
+        unreadable: Revision of the last accepted configuration that this
+            version of the software could not decode; None if there was none.
     """
 
     def __init__(self) -> None:
-        self.in_force: Manifest | None = None
-        self.wanted: Manifest | None = None
+        self.active: Manifest | None = None
+        self.pending: Manifest | None = None
         self.unreadable: Revision | None = None
-        self._before: Manifest | None = None
+        self._previous: Manifest | None = None
         self._contents: dict[PartHash, str] = {}
 
     @property
     def revision(self) -> Revision:
-        """The revision in force; 0 for none."""
-        return self.in_force.revision if self.in_force else Revision(0)
+        """The active revision; 0 for none."""
+        return self.active.revision if self.active else Revision(0)
 
     @property
     def known_revision(self) -> Revision:
-        """The newest revision whose parts are known by name; 0 for none."""
-        return self.wanted.revision if self.wanted else self.revision
-
-    def want(self, manifest: Manifest) -> bool:
-        """Take a newer configuration's names; False when it is no newer."""
-        # Peers may lag and the answers of the store and of peers cross:
-        # whatever came first, only the higher revision may win, or a change
-        # in force would be turned back.
+        """The newest revision whose manifest is known; 0 for none."""
+        return self.pending.revision if self.pending else self.revision
+
+    def set_pending(self, manifest: Manifest) -> bool:
+        """Make a newer configuration pending; return False if not newer.
+
+        A revision that this version could not decode is not accepted again.
+        """
+        # Peers may lag, and responses of the store and of peers may overtake
+        # one another. Only a higher revision may win, whichever arrives
+        # first; otherwise an active change would be reverted.
         if manifest.revision <= self.known_revision:
             return False
         if manifest.revision == self.unreadable:
             return False
-        self.wanted = manifest
+        self.pending = manifest
         return True
 
-    def want_announced(self, announcement: Announcement) -> bool:
-        """Take what an announcement says; False when it can't be used."""
-        base = self._find(announcement.base)
+    def set_pending_from_announcement(self, announcement: Announcement) -> bool:
+        """Make an announced configuration pending; return False on failure.
+
+        It fails if the base is not known here, if the announcement names no
+        changes, or if the changed parts don't lead to the announced digest.
+        """
+        base = self._find_manifest(announcement.base)
         if base is None or not announcement.changed:
             return False
         parts = {**base.parts, **announcement.changed}
@@ -88,86 +109,91 @@
         manifest = Manifest(announcement.revision, parts)
         if manifest.digest != announcement.digest:
             return False
-        return self.want(manifest)
+        return self.set_pending(manifest)
 
-    def announce(self) -> Announcement | None:
-        """Return what to tell others of what is known here."""
-        newest = self.wanted or self.in_force
+    def make_announcement(self) -> Announcement | None:
+        """Return an announcement of the newest known configuration, if any."""
+        newest = self.pending or self.active
         if newest is None:
             return None
-        base = self.in_force if self.wanted else self._before
+        base = self.active if self.pending else self._previous
         changed = {} if base is None else _find_changes(base, newest)
-        if base is None or len(changed) > _MOST_CHANGED:
+        if base is None or len(changed) > _MAX_ANNOUNCED_CHANGES:
             return Announcement(newest.revision, newest.digest, Revision(0), {})
         return Announcement(newest.revision, newest.digest, base.revision, changed)
 
     def add_parts(self, parts: Iterable[PartContent]) -> None:
-        """Take contents, unless they are not what their hash says."""
+        """Store the contents that match their hash and ignore the others."""
         for part in parts:
             if hash_content(part.content) == part.hash:
                 self._contents[part.hash] = part.content
 
-    def list_missing(self) -> list[PartHash]:
-        """Return the parts that the wanted configuration still lacks."""
-        if self.wanted is None:
+    def list_missing_parts(self) -> list[PartHash]:
+        """Return the parts that the pending configuration still lacks."""
+        if self.pending is None:
             return []
-        needed = dict.fromkeys(self.wanted.parts.values())
+        needed = dict.fromkeys(self.pending.parts.values())
         return [part for part in needed if part not in self._contents]
 
-    def settle(self) -> Configuration | None:
-        """Put the wanted configuration in force once it is whole.
+    def activate_pending(self) -> Configuration | None:
+        """Activate the pending configuration if all its parts are present.
 
         Returns:
-            The configuration that is now in force; None when nothing
-            changed, also when this version can't read what was accepted:
-            what is in force then stays, and ``unreadable`` names it.
+            The newly active configuration, or None if nothing changed. If
+            this version of the software can't decode the accepted
+            configuration, the active one stays and ``unreadable`` names the
+            revision.
         """
-        if self.wanted is None or self.list_missing():
+        if self.pending is None or self.list_missing_parts():
             return None
-        wanted, self.wanted = self.wanted, None
+        completed, self.pending = self.pending, None
         try:
-            configuration = join_parts(wanted.parts, self._contents)
+            configuration = join_parts(completed.parts, self._contents)
         except (KeyError, msgspec.MsgspecError):
-            self.unreadable = wanted.revision
+            self.unreadable = completed.revision
             return None
-        self._before, self.in_force = self.in_force, wanted
-        self._prune()
+        self._previous, self.active = self.active, completed
+        self._prune_contents()
         return configuration
 
-    def answer(self, ask: ConfigurationRequest) -> ConfigurationResponse:
-        """Return what a peer asks for, as far as it is held."""
+    def make_response(self, request: ConfigurationRequest) -> ConfigurationResponse:
+        """Return the requested parts and manifest as far as they are present.
+
+        The parts stop at the maximum size of a response; the first one is
+        included in any case.
+        """
         parts: list[PartContent] = []
-        room = _MOST_ANSWER_BYTES
-        for part in ask.parts:
+        remaining_bytes = _MAX_RESPONSE_BYTES
+        for part in request.parts:
             content = self._contents.get(part)
             if content is None:
                 continue
-            room -= len(content)
-            if room < 0 and parts:
+            remaining_bytes -= len(content)
+            if remaining_bytes < 0 and parts:
                 break
             parts.append(PartContent(part, content))
         manifest = None
-        if ask.manifest_from:
-            manifest = self.wanted or self.in_force
-        if manifest is None or manifest.revision < ask.manifest_from:
+        if request.manifest_from:
+            manifest = self.pending or self.active
+        if manifest is None or manifest.revision < request.manifest_from:
             return ConfigurationResponse(self.revision, parts=tuple(parts))
         return ConfigurationResponse(
             self.revision, manifest.revision, dict(manifest.parts), tuple(parts)
         )
 
-    def _find(self, revision: Revision) -> Manifest | None:
-        for manifest in (self.wanted, self.in_force):
+    def _find_manifest(self, revision: Revision) -> Manifest | None:
+        for manifest in (self.pending, self.active):
             if manifest is not None and manifest.revision == revision:
                 return manifest
         return None
 
-    def _prune(self) -> None:
-        """Keep the contents of this configuration and the one before.
+    def _prune_contents(self) -> None:
+        """Keep only the contents of the active and the previous configuration.
 
-        Peers that are one change behind still ask for the older parts.
+        Peers that are one change behind still request the older parts.
         """
         kept: set[PartHash] = set()
-        for manifest in (self._before, self.in_force):
+        for manifest in (self._previous, self.active):
             if manifest is not None:
                 kept.update(manifest.parts.values())
         self._contents = {
@@ -176,6 +202,7 @@
 
 
 def _find_changes(before: Manifest, after: Manifest) -> dict[PartName, PartHash]:
+    """Return the hashes of changed parts, empty for a removed part."""
     changed = {
         name: part
         for name, part in after.parts.items()
--- a/src/zinniaspool/core/configuration/parts.py
+++ b/src/zinniaspool/core/configuration/parts.py
@@ -1,8 +1,9 @@
-"""A configuration as parts in the store under one small root.
+"""A configuration is kept in the store as parts under one small root.
 
-Parts are written under the hash of their content before the root that names
-them is swapped, so the root's swap is the moment at which a change of many
-parts is accepted as one, and a part, once read, never goes stale.
+Each part is stored under the hash of its content, so a part that was read
+once never becomes stale. The parts are written before the root that names
+them is swapped, so the swap of the root accepts a change of many parts at
+once.
 """
 
 import hashlib
@@ -34,24 +35,29 @@
     "decode_root",
     "encode_root",
     "hash_content",
-    "history_key",
+    "hash_parts",
     "join_parts",
-    "name_parts",
+    "make_history_key",
     "split_parts",
 ]
 
 _T = TypeVar("_T")
 
 ROOT_KEY = "config/root"
+"""Store key of the root of the accepted configuration."""
 PART_PREFIX = "config/parts/"
+"""Prefix of the store keys of parts; the hash of the content follows."""
 HISTORY_PREFIX = "config/history/"
-_HASH_CHARACTERS = 32
-"""Characters of a part's name, 128 bits: no two parts share one."""
+"""Prefix of the store keys of past roots; the revision follows."""
+_HASH_LENGTH = 32
+"""Hexadecimal digits of a hash, 128 bits: no two contents share a hash."""
 _REVISION_DIGITS = 16
-"""Digits of a revision in a key, so that keys sort by it."""
+"""Digits of a revision in a key, so that keys sort by revision."""
 
 
 class _Kind(Enum):
+    """What a part describes; the first component of its name."""
+
     FLEET = "fleet"
     CUSTOMER = "customer"
     MODEL = "model"
@@ -63,13 +69,15 @@
     """Names the parts of one configuration.
 
     Attributes:
-        tag: Unique to the write, so that a lost answer can be settled.
-        author: The operator who applied it.
-        parts: Each part's hash.
+        tag: Unique to the write, so that an operator whose response was lost
+            can find out whether the write took effect.
+        author: Operator who applied the configuration.
+        parts: Hash of each part's content, by the part's name.
         base: Revision of the root that this one replaced; 0 for none.
-        number: How many changes were accepted up to this one.
-        reason: What the change is, for a person; empty for a plain apply.
-        applied_at: Seconds since the epoch, by the operator's clock.
+        number: Number of changes accepted so far, including this one.
+        reason: Description of the change for operators; empty for a plain
+            apply.
+        applied_at: Seconds since the Unix epoch, by the operator's clock.
     """
 
     tag: str
@@ -82,67 +90,73 @@
 
 
 def encode_root(root: Root) -> str:
-    """Return a root as it stands in the store."""
+    """Encode a root as it is written to the store."""
     return msgspec.json.encode(root, order="sorted").decode()
 
 
 def decode_root(value: str) -> Root:
-    """Return the root that a value of the store holds.
+    """Decode a root from a value of the store.
 
     Raises:
-        msgspec.MsgspecError: It holds none.
+        msgspec.MsgspecError: The value is not a root.
     """
     return msgspec.json.decode(value, type=Root)
 
 
-def history_key(revision: Revision) -> str:
-    """Return where the root of a past revision is kept."""
+def make_history_key(revision: Revision) -> str:
+    """Return the store key of the root of a past revision."""
     return f"{HISTORY_PREFIX}{revision:0{_REVISION_DIGITS}}"
 
 
 def hash_content(content: str) -> PartHash:
-    """Return the hash under which a content is kept."""
+    """Return the hash under which a content is stored."""
     digest = hashlib.sha256(content.encode()).hexdigest()
-    return PartHash(digest[:_HASH_CHARACTERS])
+    return PartHash(digest[:_HASH_LENGTH])
 
 
 def split_parts(configuration: Configuration) -> dict[PartName, str]:
     """Return the content of each part of a configuration.
 
     A change to one customer, model, service or fabric domain changes one
-    part; what else the rules hold is one part of its own.
+    part. All other rules together are one part.
     """
     rules = configuration.rules
-    rest = replace(rules, customers=(), models=(), services=())
-    parts = {_make_name(_Kind.FLEET, "rules"): _encode(rest)}
+    other_rules = replace(rules, customers=(), models=(), services=())
+    parts = {_make_part_name(_Kind.FLEET, "rules"): _encode(other_rules)}
     for customer in rules.customers:
-        parts[_make_name(_Kind.CUSTOMER, customer.id)] = _encode(customer)
+        parts[_make_part_name(_Kind.CUSTOMER, customer.id)] = _encode(customer)
     for model in rules.models:
-        parts[_make_name(_Kind.MODEL, model.name)] = _encode(model)
+        parts[_make_part_name(_Kind.MODEL, model.name)] = _encode(model)
     for service in rules.services:
-        parts[_make_name(_Kind.SERVICE, service.name)] = _encode(service)
+        parts[_make_part_name(_Kind.SERVICE, service.name)] = _encode(service)
     for domain in {vm.fabric_domain for vm in configuration.inventory.vms}:
         vms = [vm for vm in configuration.inventory.vms if vm.fabric_domain == domain]
         vms.sort(key=lambda vm: vm.id)
-        parts[_make_name(_Kind.FABRIC, domain)] = _encode(vms)
+        parts[_make_part_name(_Kind.FABRIC, domain)] = _encode(vms)
     return parts
 
 
-def name_parts(contents: Mapping[PartName, str]) -> dict[PartName, PartHash]:
-    """Return the hash of each part, as a root names it."""
+def hash_parts(contents: Mapping[PartName, str]) -> dict[PartName, PartHash]:
+    """Return the hash of each part's content, as a root names it."""
     return {name: hash_content(content) for name, content in contents.items()}
 
 
 def join_parts(
     parts: Mapping[PartName, PartHash], contents: Mapping[PartHash, str]
 ) -> Configuration:
-    """Return the configuration that parts make, sorted by name.
+    """Return the configuration that consists of the given parts.
+
+    Its customers, models, services and VMs are sorted by name.
+
+    Args:
+        parts: Hash of each part's content, by the part's name.
+        contents: Contents by their hash.
 
     Raises:
         KeyError: A part is missing.
-        msgspec.MsgspecError: A part does not hold what it should.
+        msgspec.MsgspecError: A part's content can't be decoded.
     """
-    fleet = contents[parts[_make_name(_Kind.FLEET, "rules")]]
+    fleet = contents[parts[_make_part_name(_Kind.FLEET, "rules")]]
     rules = replace(
         msgspec.json.decode(fleet, type=Rules),
         customers=_decode_all(parts, contents, _Kind.CUSTOMER, CustomerRule),
@@ -162,15 +176,15 @@
 ) -> tuple[_T, ...]:
     return tuple(
         msgspec.json.decode(contents[parts[name]], type=content)
-        for name in _select(parts, kind)
+        for name in _select_names(parts, kind)
     )
 
 
-def _select(names: Iterable[PartName], kind: _Kind) -> list[PartName]:
+def _select_names(names: Iterable[PartName], kind: _Kind) -> list[PartName]:
     return sorted(name for name in names if name.startswith(f"{kind.value}/"))
 
 
-def _make_name(kind: _Kind, key: str) -> PartName:
+def _make_part_name(kind: _Kind, key: str) -> PartName:
     return PartName(f"{kind.value}/{key}")
 
 
--- a/src/zinniaspool/core/configuration/watchers.py
+++ b/src/zinniaspool/core/configuration/watchers.py
@@ -1,4 +1,4 @@
-"""Which processes watch the store for the others."""
+"""Chooses the processes that watch the store for the others."""
 
 import hashlib
 from collections.abc import Iterable
@@ -9,34 +9,36 @@
 __all__ = ["WATCHERS_PER_DOMAIN", "is_watcher"]
 
 WATCHERS_PER_DOMAIN = 2
-"""One more than needed: while one is found silent, the other watches."""
+"""Watchers in each failure domain. The second one watches while the failure
+of the first is being detected."""
 
 
 def is_watcher(node: NodeId, members: Iterable[Member]) -> bool:
-    """Return whether a process is to watch the store.
+    """Return whether a process watches the store.
 
-    Each process decides it for itself from the members it knows, with no
-    word between them: those of a failure domain whose names hash lowest.
-    Where views differ, a few more watch; a process that knows of no other in
-    its failure domain watches, so that a cut leaves none without news.
+    The watchers of a failure domain are the processes whose names have the
+    lowest hashes. Each process decides this by itself from the members that
+    it knows, without any message. Where their views differ, a few more
+    processes watch. A process that knows no other one in its failure domain
+    watches, so that a partition leaves no process without changes.
 
     Args:
-        node: The process.
-        members: The members that it knows, itself among them.
+        node: Name of the process.
+        members: The members that the process knows, including itself.
     """
-    known = list(members)
-    own = next((member for member in known if member.node == node), None)
-    if own is None:
+    known_members = list(members)
+    local = next((member for member in known_members if member.node == node), None)
+    if local is None:
         return True
-    rivals = [
+    peers = [
         member.node
-        for member in known
-        if member.failure_domain == own.failure_domain
+        for member in known_members
+        if member.failure_domain == local.failure_domain
         and member.node != node
         and member.state in (MemberState.STARTING, MemberState.READY)
     ]
-    lower = sum(_rank(rival) < _rank(node) for rival in rivals)
-    return lower < WATCHERS_PER_DOMAIN
+    lower_ranked = sum(_rank(peer) < _rank(node) for peer in peers)
+    return lower_ranked < WATCHERS_PER_DOMAIN
 
 
 def _rank(node: NodeId) -> bytes:
--- a/src/zinniaspool/core/membership/gossip.py
+++ b/src/zinniaspool/core/membership/gossip.py
@@ -1,4 +1,11 @@
-"""Gossip: how notices spread, and how members are found silent."""
+"""Gossip protocol: spreads notices and detects unresponsive members.
+
+Each process pushes new notices to a few random peers at once, and in every
+round compares a sample of versions with one random peer, which repairs what
+the pushes missed. A member that does not respond is probed through other
+members before it is suspected. The code performs no I/O: the caller drives
+the state machine with the current time and performs the returned actions.
+"""
 
 import random
 from collections.abc import Iterable
@@ -7,10 +14,10 @@
 from zinniaspool.core.ids import Address, NodeId
 from zinniaspool.core.membership.limits import GossipLimits
 from zinniaspool.core.membership.members import (
+    Liveness,
     Member,
     MemberRecord,
     MemberState,
-    Standing,
 )
 from zinniaspool.core.membership.notices import Notice, Topic, measure_notices
 from zinniaspool.core.membership.roster import Roster
@@ -25,25 +32,25 @@
     WireNotice,
 )
 
-__all__ = ["Action", "Ask", "GossipMachine", "Tell"]
+__all__ = ["GossipAction", "GossipStateMachine", "SendMessage", "SendRequest"]
 
-_PAGE_BYTES = 16 * 1024
-"""Bytes of one page for a joining process; chosen, ten packets."""
-_SILENT_ROUND_CHANCE = 0.1
-"""Part of the rounds that try a silent member, so that cut halves find
-each other again."""
+_JOIN_PAGE_BYTES = 16 * 1024
+"""Size of one page for a joining process, about ten network packets."""
+_UNRESPONSIVE_ROUND_PROBABILITY = 0.1
+"""Probability that a round also contacts an unresponsive member, so that the
+halves of a partition find each other again."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Send a message and hand the answer, or None, to ``take_answer``.
+class SendRequest:
+    """Action: send a request and pass its result to ``handle_response``.
 
     Attributes:
-        node: Who must be listening there; None when any member will do.
-        address: Where.
-        message: What.
-        asked_at: When.
-        about: The member that a helper is asked about.
+        node: Member that must listen at the address; None for any member.
+        address: Address that receives the request.
+        message: The request.
+        asked_at: Time at which the request was made, in seconds.
+        about: Member whose responsiveness is probed; None for other requests.
     """
 
     node: NodeId | None
@@ -54,66 +61,78 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Send a message that has no answer."""
+class SendMessage:
+    """Action: send a message that has no response.
+
+    Attributes:
+        node: Member that must listen at the address.
+        address: Address that receives the message.
+        message: The message.
+    """
 
     node: NodeId
     address: Address
     message: Push
 
 
-Action = Ask | Tell
+GossipAction = SendRequest | SendMessage
 
 
-class GossipMachine:
-    """One process's part in the fleet's gossip.
+class GossipStateMachine:
+    """One process's side of the gossip protocol, without I/O.
 
     Args:
-        own: What this process says of itself.
-        seeds: Peer addresses to ask at the start.
-        source: The random source.
-        now: Seconds.
+        own_record: The record that this process publishes about itself.
+        seeds: Peer addresses from which a starting process requests notices.
+        rng: Random source.
+        now: Current time in seconds.
+        limits: Rates and sizes.
+
+    Attributes:
         limits: Rates and sizes.
+        roster: Members, notices and suspicions as this process knows them.
+        joined: Whether this process has received all notices of a peer; also
+            true where there is no seed.
     """
 
     def __init__(
         self,
-        own: MemberRecord,
+        own_record: MemberRecord,
         seeds: Iterable[Address],
-        source: random.Random,
+        rng: random.Random,
         now: float,
         limits: GossipLimits | None = None,
     ) -> None:
         self.limits = limits or GossipLimits()
-        self.roster = Roster(own, source, self.limits, now)
-        self._seeds = [seed for seed in seeds if seed != own.peer_address]
-        self._source = source
+        self.roster = Roster(own_record, rng, self.limits, now)
+        self._seeds = [seed for seed in seeds if seed != own_record.peer_address]
+        self._rng = rng
         self._notices = self.roster.notices
         self._suspicions = self.roster.suspicions
-        self._stepped_at = now
-        self._stalled_at = float("-inf")
-        self._refilled_at = now
-        self._round_at = now + self.limits.round_s * source.random()
-        self._push_at = now
-        self._slow_push_at = now
-        self._seed_at = now
-        self._join_after: str | None = None
-        self._join_news = 0
-        self._rejoin_s = 0.0
-        self._allowance = float(self.limits.bytes_per_s)
+        self._last_active_at = now
+        self._frozen_until = float("-inf")
+        self._allowance_refilled_at = now
+        self._next_round_at = now + self.limits.round_interval_s * rng.random()
+        self._next_push_at = now
+        self._next_limits_push_at = now
+        self._next_join_at = now
+        self._join_cursor: str | None = None
+        self._join_update_count = 0
+        self._rejoin_pause_s = 0.0
+        self._allowance_bytes = float(self.limits.bytes_per_s)
         self.joined = not self._seeds
 
-    def members(self) -> tuple[Member, ...]:
-        """Return all members known, this process among them, by name."""
+    def list_members(self) -> tuple[Member, ...]:
+        """Return all known members, including this process, sorted by name."""
         return self.roster.members.list_all()
 
     def list_notices(self, topic: Topic, now: float) -> list[Notice]:
-        """Return the newest notices of a topic."""
+        """Return the newest notice of each key of a topic."""
         return self._notices.list_topic(topic, now)
 
-    def take_fresh(self) -> list[Notice]:
-        """Return the notices that became known since the last call."""
-        return self.roster.take_fresh()
+    def drain_new_notices(self) -> list[Notice]:
+        """Return the notices stored since the last call."""
+        return self.roster.drain_new_notices()
 
     def publish(
         self,
@@ -124,26 +143,37 @@
         expires_s: float,
         now: float,
     ) -> None:
-        """Make a value known to the whole fleet, unless a newer one is."""
+        """Publish a value to the fleet unless a newer version is known.
+
+        Args:
+            topic: Topic of the value.
+            key: Key of the value within the topic.
+            version: Orders the values of one key.
+            payload: The encoded value.
+            expires_s: Age in seconds at which the notice expires.
+            now: Current time in seconds.
+        """
         notice = WireNotice(topic.value, key, version, payload, 0.0, expires_s)
-        self.roster.put(notice, now)
+        self.roster.store_notice(notice, now)
 
     def set_state(self, state: MemberState, now: float) -> None:
-        """Tell the fleet what this process does now."""
+        """Publish a new state of this process."""
         self.roster.set_state(state, now)
 
-    def step(self, now: float) -> list[Action]:
-        """Return what is due; call it several times a second."""
-        self._notice_stall(now)
-        self._refill(now)
-        self.roster.step(now)
-        actions: list[Action] = []
-        if now >= self._seed_at:
-            actions += self._ask_seed(now)
-        if now >= self._round_at:
-            self._round_at = now + self.limits.round_s * (0.5 + self._source.random())
+    def step(self, now: float) -> list[GossipAction]:
+        """Return the actions that are due; call it several times a second."""
+        self._detect_freeze(now)
+        self._refill_allowance(now)
+        self.roster.advance(now)
+        actions: list[GossipAction] = []
+        if now >= self._next_join_at:
+            actions += self._request_join(now)
+        if now >= self._next_round_at:
+            self._next_round_at = now + self.limits.round_interval_s * (
+                0.5 + self._rng.random()
+            )
             actions += self._start_round(now)
-        if now >= self._push_at:
+        if now >= self._next_push_at:
             actions += self._start_push(now)
         return actions
 
@@ -153,204 +183,239 @@
         message: Push | CompareRequest | JoinRequest,
         now: float,
     ) -> CompareResponse | JoinPage | None:
-        """Take a peer's message and return the answer, if it has one."""
-        self._notice_stall(now)
-        self.roster.hear(sender, now)
-        self.roster.take(message.notices, now)
+        """Handle a peer's message and return the response, if it has one."""
+        self._detect_freeze(now)
+        self.roster.record_contact(sender, now)
+        self.roster.apply_notices(message.notices, now)
         match message:
             case CompareRequest():
-                return self._answer_compare(sender, message, now)
+                return self._respond_to_compare(sender, message, now)
             case JoinRequest():
-                return self._answer_join(message, now)
+                return self._respond_to_join(message, now)
             case Push():
                 return None
 
-    def take_answer(
+    def handle_response(
         self,
-        ask: Ask,
-        answer: CompareResponse | JoinPage | ProbeResponse | None,
+        request: SendRequest,
+        response: CompareResponse | JoinPage | ProbeResponse | None,
         now: float,
-    ) -> list[Action]:
-        """Take what came of a question; None when no answer came."""
-        stalled = self._notice_stall(now) or ask.asked_at < self._stalled_at
-        if isinstance(answer, CompareResponse | JoinPage) and ask.node is not None:
-            self.roster.hear(ask.node, now)
-        match ask.message, answer:
+    ) -> list[GossipAction]:
+        """Handle the response to a request; None if none arrived."""
+        was_frozen = self._detect_freeze(now) or request.asked_at < self._frozen_until
+        if (
+            isinstance(response, CompareResponse | JoinPage)
+            and request.node is not None
+        ):
+            self.roster.record_contact(request.node, now)
+        match request.message, response:
             case CompareRequest(), CompareResponse():
-                self.roster.take(answer.notices, now)
-                return self._push_wanted(ask, answer, now)
+                self.roster.apply_notices(response.notices, now)
+                return self._push_wanted(request, response, now)
             case JoinRequest(), JoinPage():
-                return self._take_page(ask, answer, now)
+                return self._handle_join_page(request, response, now)
             case JoinRequest(), _:
-                self._join_after = None
+                self._join_cursor = None
                 return []
             case ProbeRequest(), _:
-                alive = isinstance(answer, ProbeResponse) and answer.alive
-                return self._take_probe(ask, alive=alive, now=now)
-            case CompareRequest(), _ if ask.node is not None and not stalled:
-                return self._ask_helpers(ask.node, now)
+                alive = isinstance(response, ProbeResponse) and response.alive
+                return self._handle_probe_result(request, alive=alive, now=now)
+            case CompareRequest(), _ if request.node is not None and not was_frozen:
+                return self._request_probes(request.node, now)
         return []
 
-    def _start_round(self, now: float) -> list[Action]:
+    def _start_round(self, now: float) -> list[GossipAction]:
         peers = self.roster.list_peers()
-        chosen = self._source.sample(peers, min(1, len(peers)))
-        silent = [
+        contacted = self._rng.sample(peers, min(1, len(peers)))
+        unresponsive = [
             member
             for member in self.roster.members.list_unsorted()
-            if member.state is MemberState.SILENT
+            if member.state is MemberState.UNRESPONSIVE
         ]
-        # A partition that heals is noticed by nobody who only asks those
-        # that answer; one silent member now and then is enough to meet.
-        if silent and (not peers or self._source.random() < _SILENT_ROUND_CHANCE):
-            chosen.append(self._source.choice(silent))
-        return [self._compare_with(member, now) for member in chosen]
-
-    def _compare_with(self, member: Member, now: float) -> Ask:
+        # If processes contacted only responsive members, no process would
+        # notice that a partition has healed. Contacting an unresponsive
+        # member now and then is enough for the halves to find each other.
+        if unresponsive and (
+            not peers or self._rng.random() < _UNRESPONSIVE_ROUND_PROBABILITY
+        ):
+            contacted.append(self._rng.choice(unresponsive))
+        return [self._make_compare_request(member, now) for member in contacted]
+
+    def _make_compare_request(self, member: Member, now: float) -> SendRequest:
         notices = self._spend(
-            self._notices.take_exchanged(int(self._allowance), now)
-        ) + self.roster.tell_of(member.node, now)
-        known = tuple(self._notices.sample_known(self.limits.compared))
+            self._notices.dequeue_exchanged(int(self._allowance_bytes), now)
+        ) + self.roster.list_liveness_reports(member.node, now)
+        known = tuple(self._notices.sample_versions(self.limits.compared_versions))
         message = CompareRequest(tuple(notices), known)
-        return Ask(member.node, member.peer_address, message, now)
+        return SendRequest(member.node, member.peer_address, message, now)
 
-    def _answer_compare(
+    def _respond_to_compare(
         self, sender: NodeId, message: CompareRequest, now: float
     ) -> CompareResponse:
-        newer = self._notices.find_newer(message.known, int(self._allowance), now)
+        newer = self._notices.find_newer(message.known, int(self._allowance_bytes), now)
         self._spend(newer)
-        recent = self._notices.take_exchanged(int(self._allowance), now)
+        recent = self._notices.dequeue_exchanged(int(self._allowance_bytes), now)
         self._spend(recent)
-        told = self.roster.tell_of(sender, now)
+        liveness_reports = self.roster.list_liveness_reports(sender, now)
         wanted = tuple(self._notices.find_older(message.known))
-        return CompareResponse((*told, *newer, *recent), wanted)
+        return CompareResponse((*liveness_reports, *newer, *recent), wanted)
 
     def _push_wanted(
-        self, ask: Ask, answer: CompareResponse, now: float
-    ) -> list[Action]:
-        wanted = self._notices.find_newer(answer.wanted, int(self._allowance), now)
-        if not wanted or ask.node is None:
+        self, request: SendRequest, response: CompareResponse, now: float
+    ) -> list[GossipAction]:
+        wanted = self._notices.find_newer(
+            response.wanted, int(self._allowance_bytes), now
+        )
+        if not wanted or request.node is None:
             return []
         self._spend(wanted)
-        return [Tell(ask.node, ask.address, Push(tuple(wanted)))]
+        return [SendMessage(request.node, request.address, Push(tuple(wanted)))]
 
-    def _start_push(self, now: float) -> list[Action]:
+    def _start_push(self, now: float) -> list[GossipAction]:
         peers = self.roster.list_peers()
         if not peers:
             return []
         fanout = min(self.limits.fanout, len(peers))
-        budget = int(self._allowance) // fanout
-        slow = now >= self._slow_push_at
-        notices = self._notices.take_pushes(budget, now, all_topics=slow)
+        budget = int(self._allowance_bytes) // fanout
+        include_limits = now >= self._next_limits_push_at
+        notices = self._notices.dequeue_pushes(
+            budget, now, include_limits=include_limits
+        )
         if not notices:
             return []
-        self._push_at = now + self.limits.push_s
-        if slow:
-            self._slow_push_at = now + self.limits.slow_push_s
-        self._allowance -= measure_notices(notices) * fanout
+        self._next_push_at = now + self.limits.min_push_interval_s
+        if include_limits:
+            self._next_limits_push_at = now + self.limits.min_limits_push_interval_s
+        self._allowance_bytes -= measure_notices(notices) * fanout
         message = Push(tuple(notices))
         return [
-            Tell(member.node, member.peer_address, message)
-            for member in self._source.sample(peers, fanout)
+            SendMessage(member.node, member.peer_address, message)
+            for member in self._rng.sample(peers, fanout)
         ]
 
-    def _ask_seed(self, now: float) -> list[Action]:
-        """Ask for all notices: a seed at the start, a member afterwards.
+    def _request_join(self, now: float) -> list[GossipAction]:
+        """Request all notices: from a seed at the start, later from a member.
 
-        The first peer asked may itself have just started and know little,
-        as when the whole fleet restarts. So a new process asks again, more
-        and more slowly, until an answer held nothing new.
+        The first peer may itself have just started and know little, as when
+        the whole fleet restarts. So a new process repeats the request, with
+        growing pauses, until a response contains nothing new.
         """
-        if self._join_after is not None:
+        if self._join_cursor is not None:
             return []
-        pause_s = self.limits.round_s
+        pause_s = self.limits.round_interval_s
         if self.joined:
-            pause_s = max(pause_s, self._rejoin_s or self.limits.reseed_s)
-        self._seed_at = now + pause_s * (0.5 + self._source.random())
-        address = self._choose_to_join()
+            pause_s = max(
+                pause_s, self._rejoin_pause_s or self.limits.reseed_interval_s
+            )
+        self._next_join_at = now + pause_s * (0.5 + self._rng.random())
+        address = self._choose_join_address()
         if address is None:
             return []
-        own = self._notices.find(Topic.MEMBERS, self.roster.own.node, now)
-        self._join_after = ""
-        self._join_news = 0
-        notices = () if own is None else (own,)
-        return [Ask(None, address, JoinRequest(notices, ""), now)]
+        own_notice = self._notices.find(Topic.MEMBERS, self.roster.own_record.node, now)
+        self._join_cursor = ""
+        self._join_update_count = 0
+        notices = () if own_notice is None else (own_notice,)
+        return [SendRequest(None, address, JoinRequest(notices, ""), now)]
 
-    def _choose_to_join(self) -> Address | None:
+    def _choose_join_address(self) -> Address | None:
         addresses = [member.peer_address for member in self.roster.list_peers()]
-        if self._rejoin_s and addresses:
-            return self._source.choice(addresses)
-        # Seeds that no live member listens at: a fleet that was started in
-        # two halves has no other way to meet.
-        unmet = [seed for seed in self._seeds if seed not in addresses]
-        if not self.joined and not unmet:
-            unmet = self._seeds
-        return self._source.choice(unmet) if unmet else None
-
-    def _answer_join(self, message: JoinRequest, now: float) -> JoinPage:
-        page = self._notices.page(message.after, _PAGE_BYTES, now)
+        if self._rejoin_pause_s and addresses:
+            return self._rng.choice(addresses)
+        # These are the seeds at which no responsive member listens. Without
+        # contacting them, two halves of a fleet that were started separately
+        # would never find each other.
+        unconnected_seeds = [seed for seed in self._seeds if seed not in addresses]
+        if not self.joined and not unconnected_seeds:
+            unconnected_seeds = self._seeds
+        return self._rng.choice(unconnected_seeds) if unconnected_seeds else None
+
+    def _respond_to_join(self, message: JoinRequest, now: float) -> JoinPage:
+        page = self._notices.list_page(message.after, _JOIN_PAGE_BYTES, now)
         last = f"{page[-1].topic}/{page[-1].key}" if page else ""
-        more = bool(last) and bool(self._notices.page(last, 0, now))
+        more = bool(last) and bool(self._notices.list_page(last, 0, now))
         return JoinPage(tuple(page), last if more else "")
 
-    def _take_page(self, ask: Ask, page: JoinPage, now: float) -> list[Action]:
-        # What one peer has told of everything, the others know already.
-        self._join_news += self.roster.take(page.notices, now, spread=False)
+    def _handle_join_page(
+        self, request: SendRequest, page: JoinPage, now: float
+    ) -> list[GossipAction]:
+        # These notices are not spread further: the other peers already know
+        # what one peer lists from its whole table.
+        self._join_update_count += self.roster.apply_notices(
+            page.notices, now, spread=False
+        )
         if page.after:
-            self._join_after = page.after
-            return [Ask(ask.node, ask.address, JoinRequest((), page.after), now)]
-        self._join_after = None
-        if not self.joined or self._rejoin_s:
-            self._rejoin_s = 2 * self._rejoin_s or self.limits.round_s
-        if self.joined and not self._join_news:
-            self._rejoin_s = 0.0
+            self._join_cursor = page.after
+            return [
+                SendRequest(
+                    request.node, request.address, JoinRequest((), page.after), now
+                )
+            ]
+        self._join_cursor = None
+        if not self.joined or self._rejoin_pause_s:
+            self._rejoin_pause_s = (
+                2 * self._rejoin_pause_s or self.limits.round_interval_s
+            )
+        if self.joined and not self._join_update_count:
+            self._rejoin_pause_s = 0.0
         self.joined = True
         return []
 
-    def _ask_helpers(self, node: NodeId, now: float) -> list[Action]:
+    def _request_probes(self, node: NodeId, now: float) -> list[GossipAction]:
         member = self.roster.members.find(node)
-        if member is None or self._suspicions.is_doubted(node):
+        if member is None or self._suspicions.is_being_probed(node):
             return []
-        if self.roster.find_standing(node) is Standing.SILENT:
+        if self.roster.find_liveness(node) is Liveness.UNRESPONSIVE:
             return []
-        others = [member for member in self.roster.list_peers() if member.node != node]
-        helpers = self._source.sample(others, min(self.limits.helpers, len(others)))
+        other_peers = [
+            member for member in self.roster.list_peers() if member.node != node
+        ]
+        helpers = self._rng.sample(
+            other_peers, min(self.limits.probe_helpers, len(other_peers))
+        )
         if not helpers:
-            self.roster.accuse(node, Standing.SUSPECT, now)
+            self.roster.lower_liveness(node, Liveness.SUSPECTED, now)
             return []
-        self._suspicions.doubt(node, len(helpers))
+        self._suspicions.start_probe(node, len(helpers))
         probe = ProbeRequest(node, member.peer_address)
-        return [Ask(h.node, h.peer_address, probe, now, node) for h in helpers]
+        return [
+            SendRequest(helper.node, helper.peer_address, probe, now, node)
+            for helper in helpers
+        ]
 
-    def _take_probe(self, ask: Ask, *, alive: bool, now: float) -> list[Action]:
-        if ask.about is None:
+    def _handle_probe_result(
+        self, request: SendRequest, *, alive: bool, now: float
+    ) -> list[GossipAction]:
+        if request.about is None:
             return []
-        if not self._suspicions.take_reply(ask.about, alive=alive):
+        if not self._suspicions.record_probe_result(request.about, alive=alive):
             return []
-        # It may have spoken to us meanwhile, over the other direction.
-        if not self.roster.heard_since(ask.about, ask.asked_at):
-            self.roster.accuse(ask.about, Standing.SUSPECT, now)
+        # The member may have contacted this process in the meantime, over
+        # the opposite direction of the link.
+        if not self.roster.had_contact_since(request.about, request.asked_at):
+            self.roster.lower_liveness(request.about, Liveness.SUSPECTED, now)
         return []
 
-    def _notice_stall(self, now: float) -> bool:
-        """Return whether this process stood still since its last step.
+    def _detect_freeze(self, now: float) -> bool:
+        """Return whether this process was frozen until now.
 
-        After a freeze the timers of open questions are over although the
-        answers lie unread; accusing then would have the frozen process
-        declare the healthy ones silent.
+        After a freeze the timers of open requests have expired although
+        their responses lie unread. If the process then suspected its peers,
+        it would declare healthy members unresponsive.
         """
-        stalled = now - self._stepped_at > self.limits.stall_s
-        if stalled:
-            self._stalled_at = now
-            self._suspicions.restart(now)
-        self._stepped_at = now
-        return stalled
-
-    def _refill(self, now: float) -> None:
+        was_frozen = now - self._last_active_at > self.limits.freeze_threshold_s
+        if was_frozen:
+            self._frozen_until = now
+            self._suspicions.restart_all(now)
+        self._last_active_at = now
+        return was_frozen
+
+    def _refill_allowance(self, now: float) -> None:
         rate = self.limits.bytes_per_s
-        earned = rate * (now - self._refilled_at)
-        self._refilled_at = now
-        self._allowance = min(rate, self._allowance + earned)
+        earned = rate * (now - self._allowance_refilled_at)
+        self._allowance_refilled_at = now
+        self._allowance_bytes = min(rate, self._allowance_bytes + earned)
 
     def _spend(self, notices: list[WireNotice]) -> list[WireNotice]:
-        self._allowance -= measure_notices(notices)
+        """Deduct the size of notices from the allowance and return them."""
+        self._allowance_bytes -= measure_notices(notices)
         return notices
--- a/src/zinniaspool/core/membership/limits.py
+++ b/src/zinniaspool/core/membership/limits.py
@@ -1,4 +1,4 @@
-"""Rates and times of gossip."""
+"""Rates, intervals and sizes of the gossip protocol."""
 
 from dataclasses import dataclass
 
@@ -7,35 +7,42 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipLimits:
-    """Rates of gossip; each is of one process, whatever the fleet's size.
+    """Limits of the gossip of one process; they don't depend on fleet size.
 
     Attributes:
-        round_s: Time between two comparisons with a random peer.
-        push_s: Least time between two pushes.
-        slow_push_s: Least time between two pushes of ``Topic.LIMITS``, which
-            every entry process publishes all the time: each message costs
-            its sender and receiver more than its bytes.
-        fanout: Peers that get a push.
-        compared: Versions in a comparison beside the configuration's.
-        helpers: Peers that are asked about a member that does not answer.
-        suspicion_s: Time that a suspect has to contradict.
-        silent_kept_s: Time for which a silent member is remembered.
-        leaving_kept_s: The same for one that had said that it leaves.
-        stall_s: Time without a step from which this process takes itself
-            to have been frozen.
-        reseed_s: Time between two tries at a seed that is no live member's.
-        bytes_per_s: Most bytes of notices sent a second.
+        round_interval_s: Mean time between two rounds; each compares
+            versions with a random peer.
+        min_push_interval_s: Minimum time between two pushes.
+        min_limits_push_interval_s: Minimum time between two pushes that
+            include ``Topic.LIMITS``. Every entry process publishes on it all
+            the time, and each message costs its sender and receiver more
+            than its bytes.
+        fanout: Number of peers that receive a push.
+        compared_versions: Number of versions in a comparison, in addition to
+            those of the configuration.
+        probe_helpers: Number of peers that probe a member which did not
+            respond to this process.
+        suspicion_s: Time that a suspected member has to refute the suspicion.
+        unresponsive_kept_s: Time for which the record of an unresponsive
+            member is kept.
+        leaving_kept_s: The same time for a member that had announced that it
+            leaves.
+        freeze_threshold_s: Time without activity after which this process
+            considers itself to have been frozen.
+        reseed_interval_s: Mean time between two attempts to contact a seed
+            at which no responsive member listens.
+        bytes_per_s: Maximum rate of sent notices, in bytes a second.
     """
 
-    round_s: float = 1.0
-    push_s: float = 0.1
-    slow_push_s: float = 0.5
+    round_interval_s: float = 1.0
+    min_push_interval_s: float = 0.1
+    min_limits_push_interval_s: float = 0.5
     fanout: int = 3
-    compared: int = 6
-    helpers: int = 2
+    compared_versions: int = 6
+    probe_helpers: int = 2
     suspicion_s: float = 3.0
-    silent_kept_s: float = 3600.0
+    unresponsive_kept_s: float = 3600.0
     leaving_kept_s: float = 60.0
-    stall_s: float = 2.0
-    reseed_s: float = 10.0
+    freeze_threshold_s: float = 2.0
+    reseed_interval_s: float = 10.0
     bytes_per_s: int = 2500
--- a/src/zinniaspool/core/membership/members.py
+++ b/src/zinniaspool/core/membership/members.py
@@ -1,4 +1,9 @@
-"""Members: the processes of the fleet and what is known of each."""
+"""Members: the processes of the fleet and what is known of each.
+
+A member publishes a record about itself as a notice. Other processes may
+publish the same record with a lower liveness when the member does not
+respond. The version of the notice orders both kinds of notice.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,39 +12,58 @@
 
 from zinniaspool.core.ids import Address, FailureDomainId, Incarnation, NodeId
 
-__all__ = ["Member", "MemberRecord", "MemberState", "MemberTable", "Role", "Standing"]
+__all__ = ["Liveness", "Member", "MemberRecord", "MemberState", "MemberTable", "Role"]
 
-_STANDINGS = 4
-"""Standings that a member can have within one version."""
+_LIVENESS_LEVELS = 4
+"""Number of versions reserved for each sequence number, one for each liveness
+and one unused."""
 
 
 class Role(Enum):
-    """Which program a member runs."""
+    """The program that a member runs."""
 
     ENTRY = "entry"
     CONTROL = "control"
 
 
 class MemberState(Enum):
-    """What a member does, as far as is known."""
+    """State of a member as other processes know it."""
 
     STARTING = "starting"
     READY = "ready"
     LEAVING = "leaving"
-    SILENT = "silent"
-    """It answers neither this process nor others."""
+    UNRESPONSIVE = "silent"
+    """The member responds neither to this process nor to others."""
+
 
+class Liveness(Enum):
+    """Whether a member responds to the other members.
 
-class Standing(Enum):
-    """What others hold of a member; of two equally new, the higher counts."""
+    A higher value means that the member is closer to being given up. Of two
+    notices with the same sequence number, the one with the higher value wins.
+    """
 
-    ANSWERS = 0
-    SUSPECT = 1
-    SILENT = 2
+    RESPONSIVE = 0
+    SUSPECTED = 1
+    UNRESPONSIVE = 2
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What a member says of itself."""
+    """The record that a member publishes about itself.
+
+    Attributes:
+        node: Name of the member.
+        incarnation: Identifies the start of the member's process; a later
+            start has a higher value.
+        role: Program that the member runs.
+        state: State that the member reports.
+        failure_domain: Failure domain in which the member runs.
+        peer_address: Address at which the member listens to peers.
+        caller_address: Address at which it listens to callers; empty if none.
+        operator_address: Address at which it listens to operators; empty if
+            none.
+        protocol: Version of the peer protocol that the member uses.
+    """
 
     node: NodeId
     incarnation: Incarnation
@@ -54,17 +78,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A process of the fleet, as known here.
+    """A process of the fleet as this process knows it.
 
     Attributes:
-        node: Its name.
-        role: Which program.
-        state: What it does.
-        peer_address: Where it listens to peers.
-        caller_address: Where it listens to callers; empty for none.
-        operator_address: Where it listens to operators; empty for none.
-        failure_domain: Where it runs.
-        incarnation: Which of its starts.
+        node: Name of the member.
+        role: Program that the member runs.
+        state: Reported state, or unresponsive.
+        peer_address: Address at which the member listens to peers.
+        caller_address: Address at which it listens to callers; empty if none.
+        operator_address: Address at which it listens to operators; empty if
+            none.
+        failure_domain: Failure domain in which the member runs.
+        incarnation: Identifies the start of the member's process.
     """
 
     node: NodeId
@@ -77,103 +102,115 @@
     incarnation: Incarnation
 
 
-_encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(MemberRecord)
+_record_encoder = msgspec.msgpack.Encoder()
+_record_decoder = msgspec.msgpack.Decoder(MemberRecord)
 
 
 def encode_record(record: MemberRecord) -> bytes:
-    """Return a record as a notice's payload."""
-    return _encoder.encode(record)
+    """Encode a record as the payload of a notice."""
+    return _record_encoder.encode(record)
 
 
 def decode_record(payload: bytes) -> MemberRecord | None:
-    """Return the record in a payload; None when it can't be read here."""
+    """Decode a notice's payload; return None if it is not a known record."""
     try:
-        return _decoder.decode(payload)
+        return _record_decoder.decode(payload)
     except msgspec.MsgspecError:
         return None
 
 
-def make_version(sequence: int, standing: Standing) -> int:
-    """Return the version of a member's notice.
+def make_version(sequence: int, liveness: Liveness) -> int:
+    """Return the version of a notice about a member.
 
-    The member itself counts ``sequence`` up, and others only raise the
-    standing, so that a word of the member's own always beats what others
-    hold of its older ones.
+    Only the member itself increases ``sequence``; other processes only raise
+    the value of ``liveness``. So a newer record from the member itself always
+    wins over what others report about its older records.
     """
-    return sequence * _STANDINGS + standing.value
+    return sequence * _LIVENESS_LEVELS + liveness.value
 
 
 def read_sequence(version: int) -> int:
-    """Return the member's own count in a version."""
-    return version // _STANDINGS
+    """Return the sequence number in a version, which the member counts up."""
+    return version // _LIVENESS_LEVELS
 
 
-def read_standing(version: int) -> Standing:
-    """Return what others hold, from a version."""
-    rank = version % _STANDINGS
-    return Standing(min(rank, Standing.SILENT.value))
+def read_liveness(version: int) -> Liveness:
+    """Return the liveness in a version."""
+    level = version % _LIVENESS_LEVELS
+    return Liveness(min(level, Liveness.UNRESPONSIVE.value))
 
 
 @dataclass(frozen=True, slots=True)
-class _Known:
+class _KnownMember:
     version: int
     member: Member
 
 
 class MemberTable:
-    """The members by name, from their newest notices."""
+    """Members by name, taken from the newest notice about each."""
 
     def __init__(self) -> None:
-        self._known: dict[NodeId, _Known] = {}
-        self._listed: tuple[Member, ...] | None = None
+        self._known_members: dict[NodeId, _KnownMember] = {}
+        self._sorted_members: tuple[Member, ...] | None = None
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._known_members)
 
     def update(self, key: str, version: int, payload: bytes) -> Member | None:
-        """Take a newer notice; None when it can't be read here."""
+        """Store the member described by a newer notice.
+
+        Returns None and keeps the known member if the payload can't be
+        decoded or describes another member.
+
+        Args:
+            key: Name of the member, the key of the notice.
+            version: Version of the notice.
+            payload: The encoded record.
+        """
         record = decode_record(payload)
         if record is None or record.node != key:
             return None
-        member = _describe(record, version)
-        self._listed = None
-        self._known[record.node] = _Known(version, member)
+        member = _make_member(record, version)
+        self._sorted_members = None
+        self._known_members[record.node] = _KnownMember(version, member)
         return member
 
-    def forget(self, node: NodeId) -> None:
-        """Take a member out."""
-        self._known.pop(node, None)
-        self._listed = None
+    def remove(self, node: NodeId) -> None:
+        """Remove a member."""
+        self._known_members.pop(node, None)
+        self._sorted_members = None
 
     def find(self, node: NodeId) -> Member | None:
-        """Return a member."""
-        known = self._known.get(node)
+        """Return a member, or None if it is not known."""
+        known = self._known_members.get(node)
         return None if known is None else known.member
 
     def find_version(self, node: NodeId) -> int:
-        """Return the version of what is known of a member; -1 for nothing."""
-        known = self._known.get(node)
+        """Return the version of a member's notice; -1 if it is not known."""
+        known = self._known_members.get(node)
         return -1 if known is None else known.version
 
     def list_all(self) -> tuple[Member, ...]:
-        """Return all members, by name; the same tuple while none changes."""
-        if self._listed is None:
-            known = self._known
-            self._listed = tuple(known[node].member for node in sorted(known))
-        return self._listed
+        """Return all members sorted by name.
+
+        The same tuple is returned while no member changes.
+        """
+        if self._sorted_members is None:
+            known = self._known_members
+            self._sorted_members = tuple(known[node].member for node in sorted(known))
+        return self._sorted_members
 
     def list_unsorted(self) -> list[Member]:
-        """Return all members."""
-        return [known.member for known in self._known.values()]
+        """Return all members in no particular order."""
+        return [known.member for known in self._known_members.values()]
 
 
-def _describe(record: MemberRecord, version: int) -> Member:
-    silent = read_standing(version) is Standing.SILENT
+def _make_member(record: MemberRecord, version: int) -> Member:
+    unresponsive = read_liveness(version) is Liveness.UNRESPONSIVE
     return Member(
         record.node,
         record.role,
-        MemberState.SILENT if silent else record.state,
+        MemberState.UNRESPONSIVE if unresponsive else record.state,
         record.peer_address,
         record.caller_address,
         record.operator_address,
--- a/src/zinniaspool/core/membership/notices.py
+++ b/src/zinniaspool/core/membership/notices.py
@@ -1,4 +1,8 @@
-"""Notices: small values that every process should know the newest of."""
+"""Notices: small versioned values whose newest version all processes need.
+
+The table of notices keeps the newest version of each key and selects which
+notices to send next within a byte budget.
+"""
 
 import random
 from collections.abc import Iterable, Iterator
@@ -9,24 +13,26 @@
 
 __all__ = ["Notice", "NoticeTable", "Topic"]
 
-MOST_PAYLOAD_BYTES = 64 * 1024
-"""Bytes of one notice; larger values go by their own way."""
-_OVERHEAD_BYTES = 34
-"""About what msgpack adds to a notice's key and payload on the wire."""
+MAX_PAYLOAD_BYTES = 64 * 1024
+"""Maximum size of a payload; larger values travel in other messages."""
+_NOTICE_OVERHEAD_BYTES = 34
+"""Approximate bytes that msgpack adds to the key and payload of a notice."""
 
-_RESERVE_BYTES = 256
-"""Bytes kept for a message's frame."""
+_FRAME_RESERVE_BYTES = 256
+"""Bytes kept free for the frame of a message."""
 _PUSHES = 1
-"""Times that a notice is pushed at once to each chosen peer."""
+"""Number of pushes in which a new notice is sent; each push goes to a few
+random peers."""
 _EXCHANGES = 4
-"""Exchanges in which a notice is told again; measured with
-benchmarks.capacity_gossip."""
-_EXCHANGES_OF_FREQUENT = 1
-"""For topics whose next version comes within seconds and repairs a loss."""
+"""Number of exchanges (requests or responses of a comparison) that repeat a
+new notice; the value follows from ``benchmarks.capacity_gossip``."""
+_FREQUENT_TOPIC_EXCHANGES = 1
+"""The same for topics whose next version follows within seconds, so that it
+makes up for a lost notice."""
 
 
 class Topic(Enum):
-    """What a notice is about; a smaller number is sent first."""
+    """Subject of a notice; notices with smaller numbers are sent first."""
 
     CONFIGURATION = 1
     LEAVING = 2
@@ -36,20 +42,20 @@
     LIMITS = 6
 
 
-_FREQUENT = (Topic.GROUPS, Topic.LIMITS)
+_FREQUENT_TOPICS = (Topic.GROUPS, Topic.LIMITS)
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """One value as a subscriber gets it.
+    """One published value as a subscriber receives it.
 
     Attributes:
-        topic: What it is about.
-        key: Whose value it is, within the topic.
+        topic: Subject of the value.
+        key: Key of the value within the topic.
         version: Orders the values of one key.
         payload: The value, encoded by its publisher.
-        age_s: Seconds since it was published. Ages travel in place of times
-            of day, so that no common clock is needed.
+        age_s: Seconds since the value was published. Messages carry ages
+            instead of times of day, so that no common clock is needed.
     """
 
     topic: Topic
@@ -60,14 +66,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Name:
+class _NoticeKey:
     topic: Topic
     key: str
 
 
 @dataclass(slots=True)
-class _Entry:
-    name: _Name
+class _StoredNotice:
+    """A notice in the table, with the number of times to send it.
+
+    Attributes:
+        name: Topic and key.
+        version: Orders the values of one key.
+        payload: The encoded value.
+        born: Time of publication by this process's clock.
+        lifetime_s: Age at which the notice expires.
+        pushes_left: Number of pushes that still send the notice.
+        exchanges_left: Number of exchanges that still repeat the notice.
+    """
+
+    name: _NoticeKey
     version: int
     payload: bytes
     born: float
@@ -77,7 +95,7 @@
 
     @property
     def size(self) -> int:
-        return _OVERHEAD_BYTES + len(self.name.key) + len(self.payload)
+        return _NOTICE_OVERHEAD_BYTES + len(self.name.key) + len(self.payload)
 
     def encode(self, now: float) -> WireNotice:
         return WireNotice(
@@ -91,33 +109,33 @@
 
 
 class NoticeTable:
-    """The newest notice of each key, and what is still to be passed on.
+    """The newest notice of each key, and which notices are still to be sent.
 
     Args:
-        source: The random source.
+        rng: Random source.
     """
 
-    def __init__(self, source: random.Random) -> None:
-        self._source = source
-        self._entries: dict[_Name, _Entry] = {}
-        self._hot: dict[_Name, _Entry] = {}
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
+        self._notices: dict[_NoticeKey, _StoredNotice] = {}
+        self._spreading: dict[_NoticeKey, _StoredNotice] = {}
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._notices)
 
     def put(
         self, notice: WireNotice, now: float, *, spread: bool = True
     ) -> Notice | None:
-        """Keep a notice if it is newer than what is known.
+        """Store a notice if it is newer than the known one.
 
         Args:
-            notice: What came.
-            now: Seconds.
-            spread: Whether it is to be passed on.
+            notice: The received or published notice.
+            now: Current time in seconds.
+            spread: Whether the notice is sent on to other processes.
 
         Returns:
-            The notice, or None when it is old, expired, too large, or of a
-            topic that only a newer version knows.
+            The notice, or None if it is not newer, has expired, is too large,
+            or has a topic that only a newer version of the software knows.
         """
         try:
             topic = Topic(notice.topic)
@@ -125,176 +143,205 @@
             return None
         age_s = max(0.0, notice.age_s)
         expired = age_s >= notice.lifetime_s
-        if expired or len(notice.payload) > MOST_PAYLOAD_BYTES:
+        if expired or len(notice.payload) > MAX_PAYLOAD_BYTES:
             return None
-        name = _Name(topic, notice.key)
-        known = self._entries.get(name)
-        # Notices arrive by many ways and out of order; taking an older one
-        # would turn a change back until the next round.
+        name = _NoticeKey(topic, notice.key)
+        known = self._notices.get(name)
+        # Notices arrive over many paths and out of order. Accepting an older
+        # one would revert a change until the next round.
         if known is not None and notice.version <= known.version:
             return None
-        entry = _Entry(
+        stored = _StoredNotice(
             name,
             notice.version,
             notice.payload,
             now - age_s,
             notice.lifetime_s,
             _PUSHES,
-            _EXCHANGES_OF_FREQUENT if topic in _FREQUENT else _EXCHANGES,
+            _FREQUENT_TOPIC_EXCHANGES if topic in _FREQUENT_TOPICS else _EXCHANGES,
         )
-        self._entries[name] = entry
-        self._hot.pop(name, None)
+        self._notices[name] = stored
+        self._spreading.pop(name, None)
         if spread:
-            self._hot[name] = entry
+            self._spreading[name] = stored
         return Notice(topic, notice.key, notice.version, notice.payload, age_s)
 
     def find(self, topic: Topic, key: str, now: float) -> WireNotice | None:
-        """Return the newest notice of a key, to be passed on."""
-        entry = self._entries.get(_Name(topic, key))
-        return None if entry is None else entry.encode(now)
+        """Return the newest notice of a key in its wire form."""
+        stored = self._notices.get(_NoticeKey(topic, key))
+        return None if stored is None else stored.encode(now)
 
     def list_topic(self, topic: Topic, now: float) -> list[Notice]:
-        """Return the newest notices of a topic."""
+        """Return the newest notice of each key of a topic."""
         return [
-            _read(entry, now)
-            for name, entry in self._entries.items()
+            _make_notice(stored, now)
+            for name, stored in self._notices.items()
             if name.topic is topic
         ]
 
     def expire(self, now: float) -> list[Notice]:
-        """Forget what is past its lifetime and return it."""
-        ended = [
-            entry
-            for entry in self._entries.values()
-            if now - entry.born >= entry.lifetime_s
+        """Remove the notices that are past their lifetime and return them."""
+        expired = [
+            stored
+            for stored in self._notices.values()
+            if now - stored.born >= stored.lifetime_s
         ]
-        for entry in ended:
-            del self._entries[entry.name]
-            self._hot.pop(entry.name, None)
-        return [_read(entry, now) for entry in ended]
+        for stored in expired:
+            del self._notices[stored.name]
+            self._spreading.pop(stored.name, None)
+        return [_make_notice(stored, now) for stored in expired]
 
-    def take_pushes(
-        self, budget_bytes: int, now: float, *, all_topics: bool = True
+    def dequeue_pushes(
+        self, budget_bytes: int, now: float, *, include_limits: bool = True
     ) -> list[WireNotice]:
-        """Return what is to be pushed now, most urgent topic first.
+        """Return the notices to push now, most urgent topic first.
 
         Args:
-            budget_bytes: Most bytes of notices.
-            now: Seconds.
-            all_topics: Whether those of ``Topic.LIMITS`` are among them.
+            budget_bytes: Maximum size of the notices.
+            now: Current time in seconds.
+            include_limits: Whether notices of ``Topic.LIMITS`` are included.
         """
-        due = [entry for entry in self._hot.values() if entry.pushes_left]
-        if not all_topics:
-            due = [entry for entry in due if entry.name.topic is not Topic.LIMITS]
-        chosen = list(self._choose(budget_bytes, due))
-        for entry in chosen:
-            entry.pushes_left -= 1
-        self._cool()
-        return [entry.encode(now) for entry in chosen]
-
-    def take_exchanged(self, budget_bytes: int, now: float) -> list[WireNotice]:
-        """Return the recent notices that go along with an exchange."""
-        hot = (entry for entry in self._hot.values() if entry.exchanges_left)
-        chosen = list(self._choose(budget_bytes, hot))
-        for entry in chosen:
-            entry.exchanges_left -= 1
-        self._cool()
-        return [entry.encode(now) for entry in chosen]
-
-    def sample_known(self, count: int) -> list[KnownVersion]:
-        """Return versions for a peer to compare with its own.
-
-        Those of the configuration always, and a few others at random: the
-        cost of one comparison stays the same however many keys there are,
-        and over the rounds each key has its turn.
+        due = [stored for stored in self._spreading.values() if stored.pushes_left]
+        if not include_limits:
+            due = [stored for stored in due if stored.name.topic is not Topic.LIMITS]
+        selected = list(self._select_within_budget(budget_bytes, due))
+        for stored in selected:
+            stored.pushes_left -= 1
+        self._drop_spread()
+        return [stored.encode(now) for stored in selected]
+
+    def dequeue_exchanged(self, budget_bytes: int, now: float) -> list[WireNotice]:
+        """Return the recent notices to send along with an exchange."""
+        exchangeable = (
+            stored for stored in self._spreading.values() if stored.exchanges_left
+        )
+        selected = list(self._select_within_budget(budget_bytes, exchangeable))
+        for stored in selected:
+            stored.exchanges_left -= 1
+        self._drop_spread()
+        return [stored.encode(now) for stored in selected]
+
+    def sample_versions(self, count: int) -> list[KnownVersion]:
+        """Return versions that a peer compares with its own.
+
+        The result contains the versions of the configuration and a few others
+        at random. So the cost of one comparison does not depend on the number
+        of keys, and over the rounds each key is compared.
         """
-        always = [n for n in self._entries if n.topic is Topic.CONFIGURATION]
-        others = [n for n in self._entries if n.topic is not Topic.CONFIGURATION]
-        drawn = self._source.sample(others, min(count, len(others)))
+        configuration_names = [
+            n for n in self._notices if n.topic is Topic.CONFIGURATION
+        ]
+        other_names = [n for n in self._notices if n.topic is not Topic.CONFIGURATION]
+        sampled = self._rng.sample(other_names, min(count, len(other_names)))
         return [
-            KnownVersion(name.topic.value, name.key, self._entries[name].version)
-            for name in (*always, *drawn)
+            KnownVersion(name.topic.value, name.key, self._notices[name].version)
+            for name in (*configuration_names, *sampled)
         ]
 
     def find_newer(
         self, known: Iterable[KnownVersion], budget_bytes: int, now: float
     ) -> list[WireNotice]:
-        """Return what a peer knows only an older version of, or nothing."""
-        newer = []
-        for each in known:
-            entry = self._find(each)
-            if entry is not None and entry.version > each.version:
-                newer.append(entry)
-        return [entry.encode(now) for entry in self._choose(budget_bytes, newer)]
+        """Return the notices of which a peer knows an older version or none.
+
+        Args:
+            known: Versions that the peer knows; -1 for none.
+            budget_bytes: Maximum size of the notices.
+            now: Current time in seconds.
+        """
+        newer_notices = []
+        for known_version in known:
+            stored = self._find(known_version)
+            if stored is not None and stored.version > known_version.version:
+                newer_notices.append(stored)
+        return [
+            stored.encode(now)
+            for stored in self._select_within_budget(budget_bytes, newer_notices)
+        ]
 
     def find_older(self, known: Iterable[KnownVersion]) -> list[KnownVersion]:
-        """Return what a peer knows a newer version of, as known here."""
-        older = []
-        for each in known:
-            entry = self._find(each)
-            version = -1 if entry is None else entry.version
-            if each.version > version:
-                older.append(KnownVersion(each.topic, each.key, version))
-        return older
-
-    def page(self, after: str, budget_bytes: int, now: float) -> list[WireNotice]:
-        """Return notices in the order of their page keys, for a new peer."""
-        later = sorted(
-            (entry for entry in self._entries.values() if page_key(entry.name) > after),
-            key=lambda entry: page_key(entry.name),
+        """Return the known versions of the keys that a peer knows newer."""
+        older_versions = []
+        for known_version in known:
+            stored = self._find(known_version)
+            version = -1 if stored is None else stored.version
+            if known_version.version > version:
+                older_versions.append(
+                    KnownVersion(known_version.topic, known_version.key, version)
+                )
+        return older_versions
+
+    def list_page(self, after: str, budget_bytes: int, now: float) -> list[WireNotice]:
+        """Return one page of all notices, for a joining process.
+
+        Args:
+            after: Page key of the last notice of the previous page.
+            budget_bytes: Maximum size of the page; the first notice is
+                included in any case.
+            now: Current time in seconds.
+        """
+        remaining = sorted(
+            (
+                stored
+                for stored in self._notices.values()
+                if make_page_key(stored.name) > after
+            ),
+            key=lambda stored: make_page_key(stored.name),
         )
         page: list[WireNotice] = []
-        for entry in later:
-            budget_bytes -= entry.size
+        for stored in remaining:
+            budget_bytes -= stored.size
             if budget_bytes < 0 and page:
                 break
-            page.append(entry.encode(now))
+            page.append(stored.encode(now))
         return page
 
-    def _find(self, known: KnownVersion) -> _Entry | None:
+    def _find(self, known: KnownVersion) -> _StoredNotice | None:
         try:
             topic = Topic(known.topic)
         except ValueError:
             return None
-        return self._entries.get(_Name(topic, known.key))
-
-    def _choose(self, budget_bytes: int, entries: Iterable[_Entry]) -> Iterator[_Entry]:
-        for entry in sorted(entries, key=lambda entry: entry.name.topic.value):
-            # A notice larger than what is left goes out all the same, and
-            # what it overdraws is saved up before the next. Passing over it
-            # would let smaller ones of less urgent topics use up the budget
-            # each time: a plan would never leave beside a stream of beats.
-            least = 1
-            if entry.name.topic is Topic.LIMITS:
-                # Digests of limits come all the time and would use up
-                # whatever there is: a change of configuration that comes
-                # between would have to wait at every hop.
-                least = entry.size + _RESERVE_BYTES
-            if budget_bytes < least:
+        return self._notices.get(_NoticeKey(topic, known.key))
+
+    def _select_within_budget(
+        self, budget_bytes: int, candidates: Iterable[_StoredNotice]
+    ) -> Iterator[_StoredNotice]:
+        for stored in sorted(candidates, key=lambda stored: stored.name.topic.value):
+            # A notice larger than the remaining budget is sent all the same,
+            # and the overdraft is made up for before the next one. If it were
+            # skipped, smaller notices of less urgent topics would use up the
+            # budget each time: a plan would never be sent beside a stream of
+            # heartbeats.
+            min_budget_bytes = 1
+            if stored.name.topic is Topic.LIMITS:
+                # Digests of limits are published all the time and would use
+                # up the whole budget. A change of the configuration that is
+                # published in between would then have to wait at every hop.
+                min_budget_bytes = stored.size + _FRAME_RESERVE_BYTES
+            if budget_bytes < min_budget_bytes:
                 return
-            budget_bytes -= entry.size
-            yield entry
+            budget_bytes -= stored.size
+            yield stored
 
-    def _cool(self) -> None:
+    def _drop_spread(self) -> None:
         for name in [
             name
-            for name, entry in self._hot.items()
-            if not entry.pushes_left and not entry.exchanges_left
+            for name, stored in self._spreading.items()
+            if not stored.pushes_left and not stored.exchanges_left
         ]:
-            del self._hot[name]
+            del self._spreading[name]
 
 
-def page_key(name: _Name) -> str:
-    """Return what pages of a whole table are ordered by."""
+def make_page_key(name: _NoticeKey) -> str:
+    """Return the key by which the pages of a table are sorted."""
     return f"{name.topic.value}/{name.key}"
 
 
 def measure_notices(notices: Iterable[WireNotice]) -> int:
-    """Return about how many bytes notices take on the wire."""
-    return sum(_OVERHEAD_BYTES + len(n.key) + len(n.payload) for n in notices)
+    """Return the approximate size of notices on the wire, in bytes."""
+    return sum(_NOTICE_OVERHEAD_BYTES + len(n.key) + len(n.payload) for n in notices)
 
 
-def _read(entry: _Entry, now: float) -> Notice:
-    age_s = max(0.0, now - entry.born)
-    name = entry.name
-    return Notice(name.topic, name.key, entry.version, entry.payload, age_s)
+def _make_notice(stored: _StoredNotice, now: float) -> Notice:
+    age_s = max(0.0, now - stored.born)
+    name = stored.name
+    return Notice(name.topic, name.key, stored.version, stored.payload, age_s)
--- a/src/zinniaspool/core/membership/suspicion.py
+++ b/src/zinniaspool/core/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""When a member that does not answer is held silent."""
+"""Decides when a member that does not respond is considered unresponsive."""
 
 from dataclasses import dataclass
 
@@ -8,77 +8,85 @@
 
 
 @dataclass(slots=True)
-class _Doubt:
+class _OpenProbe:
+    """A member that helpers are probing.
+
+    Attributes:
+        helpers_left: Number of helpers whose result is still missing.
+    """
+
     helpers_left: int
 
 
 class SuspicionTable:
-    """Members whose answers failed to come, here or by others' word.
+    """Members that failed to respond to this process or to others.
 
-    A failed question alone is no proof: the link may be cut one way, or this
-    process itself may have been frozen while the answer came. So others are
-    asked to try, and a suspect has ``suspicion_s`` to contradict.
+    A single failed request is no proof: the link may be cut in one direction,
+    or this process may have been frozen when the response arrived. So other
+    members probe the member first, and a suspected member has ``suspicion_s``
+    to refute the suspicion.
 
     Args:
-        suspicion_s: Time between suspicion and silence.
+        suspicion_s: Seconds from the suspicion of a member until it is
+            considered unresponsive.
     """
 
     def __init__(self, suspicion_s: float) -> None:
         self._suspicion_s = suspicion_s
-        self._doubts: dict[NodeId, _Doubt] = {}
+        self._open_probes: dict[NodeId, _OpenProbe] = {}
         self._suspected_at: dict[NodeId, float] = {}
 
     def __len__(self) -> int:
-        return len(self._doubts) + len(self._suspected_at)
+        return len(self._open_probes) + len(self._suspected_at)
 
-    def is_doubted(self, node: NodeId) -> bool:
-        """Return whether others are being asked about a member."""
-        return node in self._doubts
+    def is_being_probed(self, node: NodeId) -> bool:
+        """Return whether helpers are probing a member."""
+        return node in self._open_probes
 
-    def doubt(self, node: NodeId, helpers: int) -> None:
-        """Note that a number of helpers are asked about a member."""
-        self._doubts[node] = _Doubt(helpers)
+    def start_probe(self, node: NodeId, helpers: int) -> None:
+        """Record that a number of helpers probe a member."""
+        self._open_probes[node] = _OpenProbe(helpers)
 
-    def take_reply(self, node: NodeId, *, alive: bool) -> bool:
-        """Take a helper's word; True when the last one found no answer."""
-        doubt = self._doubts.get(node)
-        if doubt is None:
+    def record_probe_result(self, node: NodeId, *, alive: bool) -> bool:
+        """Record a helper's result; return whether all helpers have failed."""
+        probe = self._open_probes.get(node)
+        if probe is None:
             return False
-        doubt.helpers_left -= 1
+        probe.helpers_left -= 1
         if alive:
-            del self._doubts[node]
+            del self._open_probes[node]
             return False
-        if doubt.helpers_left:
+        if probe.helpers_left:
             return False
-        del self._doubts[node]
+        del self._open_probes[node]
         return True
 
     def suspect(self, node: NodeId, now: float) -> None:
-        """Start a suspect's time to contradict."""
+        """Start the time that a suspected member has to refute."""
         self._suspected_at.setdefault(node, now)
 
     def clear(self, node: NodeId) -> None:
-        """End doubt and suspicion: the member was heard."""
-        self._doubts.pop(node, None)
+        """End the probe and suspicion of a member that has responded."""
+        self._open_probes.pop(node, None)
         self._suspected_at.pop(node, None)
 
-    def take_ended(self, now: float) -> list[NodeId]:
-        """Return the suspects whose time to contradict is over."""
-        ended = [
+    def pop_timed_out(self, now: float) -> list[NodeId]:
+        """Remove and return the suspects that did not refute in time."""
+        timed_out = [
             node
             for node, since in self._suspected_at.items()
             if now - since >= self._suspicion_s
         ]
-        for node in ended:
+        for node in timed_out:
             del self._suspected_at[node]
-        return ended
+        return timed_out
 
-    def restart(self, now: float) -> None:
-        """Give every suspect its whole time again, and drop open doubts.
+    def restart_all(self, now: float) -> None:
+        """Restart the time of every suspect and drop all open probes.
 
-        Called when this process itself stood still: the contradictions that
-        came meanwhile are still unread.
+        Called after this process itself was frozen: it has not yet read the
+        refutations that arrived in the meantime.
         """
-        self._doubts.clear()
+        self._open_probes.clear()
         for node in self._suspected_at:
             self._suspected_at[node] = now
--- a/src/zinniaspool/core/validation/__init__.py
+++ b/src/zinniaspool/core/validation/__init__.py
@@ -1,4 +1,4 @@
-"""Whether an inventory and rules make sense, each and together."""
+"""Validation of the inventory and the rules, separately and together."""
 
 from zinniaspool.core.validation.configuration import validate_configuration
 from zinniaspool.core.validation.inventory import check_inventory
--- a/src/zinniaspool/core/validation/configuration.py
+++ b/src/zinniaspool/core/validation/configuration.py
@@ -5,7 +5,7 @@
 from zinniaspool.core.deployment import Configuration, ModelRule
 from zinniaspool.core.ids import Address, CustomerId
 from zinniaspool.core.validation.inventory import check_inventory
-from zinniaspool.core.validation.placement import place_guarantees
+from zinniaspool.core.validation.placement import place_guaranteed_groups
 from zinniaspool.core.validation.problems import Problem, ProblemFile
 from zinniaspool.core.validation.rules import check_rules
 
@@ -15,8 +15,8 @@
 def validate_configuration(configuration: Configuration) -> list[Problem]:
     """Return every problem that keeps a configuration from being accepted.
 
-    Whether groups can form is asked only of files that are sound by
-    themselves: on others the answer would repeat their problems.
+    Whether groups can form is checked only if the inventory and the rules
+    have no problems by themselves; otherwise the result would repeat those.
     """
     inventory, rules = configuration.inventory, configuration.rules
     problems = [
@@ -36,12 +36,12 @@
     owners = {vm.owner for vm in configuration.inventory.vms}
     known = owners | {rule.id for rule in customers}
     for position, rule in enumerate(customers):
-        for place, owner in enumerate(rule.may_use):
+        for index, owner in enumerate(rule.may_use):
             if owner not in known:
                 yield Problem(
                     ProblemFile.RULES,
-                    ("customers", position, "may_use", place),
-                    f"{owner!r}, which owns no VM and is no customer",
+                    ("customers", position, "may_use", index),
+                    f"{owner!r}, which neither owns a VM nor is a customer",
                     f"one of {', '.join(sorted(known))}",
                 )
 
@@ -51,18 +51,18 @@
         vm.address: position for position, vm in enumerate(configuration.inventory.vms)
     }
     for position, service in enumerate(configuration.rules.services):
-        for place, upstream in enumerate(service.upstreams):
+        for index, upstream in enumerate(service.upstreams):
             if upstream.address in vms:
                 yield Problem(
                     ProblemFile.RULES,
-                    ("services", position, "upstreams", place, "address"),
+                    ("services", position, "upstreams", index, "address"),
                     f"{upstream.address!r}, the engine of a VM of the inventory",
                     "an address that no engine listens on",
                 )
 
 
 def _check_models(configuration: Configuration) -> Iterator[Problem]:
-    """Refuse models that no group could ever serve."""
+    """Reject models that no group could ever serve."""
     for position, model in enumerate(configuration.rules.models):
         path = ("models", position)
         owners = _find_usable_owners(configuration, model)
@@ -71,7 +71,7 @@
                 ProblemFile.RULES,
                 (*path, "shares"),
                 "customers that have no owner's VMs in common "
-                f"({_describe_use(configuration, model)})",
+                f"({_describe_usable_owners(configuration, model)})",
                 "customers who may use each other's VMs, or a model for each",
             )
             continue
@@ -87,18 +87,19 @@
 
 
 def _check_guarantees(configuration: Configuration) -> Iterator[Problem]:
-    usable = {
+    """Reject guaranteed groups that do not fit into the inventory."""
+    usable_owners = {
         model.name: _find_usable_owners(configuration, model)
         for model in configuration.rules.models
     }
-    placed = place_guarantees(configuration, usable)
+    placed_groups = place_guaranteed_groups(configuration, usable_owners)
     for position, model in enumerate(configuration.rules.models):
-        if placed[model.name] < model.guaranteed_groups:
+        if placed_groups[model.name] < model.guaranteed_groups:
             yield Problem(
                 ProblemFile.RULES,
                 ("models", position, "guaranteed_groups"),
                 f"{model.guaranteed_groups} groups of {model.vms_per_group} VMs",
-                f"{placed[model.name]} or fewer beside the other models' "
+                f"{placed_groups[model.name]} or fewer beside the other models' "
                 "guarantees, or more VMs in one fabric domain",
             )
 
@@ -106,27 +107,29 @@
 def _find_usable_owners(
     configuration: Configuration, model: ModelRule
 ) -> frozenset[CustomerId]:
-    """Return the owners whose VMs every customer of a model may use."""
+    """Return the owners whose VMs all customers of a model may use."""
     owners = frozenset(vm.owner for vm in configuration.inventory.vms)
-    sharing = {share.customer for share in model.shares}
+    sharing_customers = {share.customer for share in model.shares}
     for rule in configuration.rules.customers:
-        if rule.id in sharing:
+        if rule.id in sharing_customers:
             owners &= frozenset(rule.may_use)
     return owners
 
 
-def _describe_use(configuration: Configuration, model: ModelRule) -> str:
-    sharing = {share.customer for share in model.shares}
+def _describe_usable_owners(configuration: Configuration, model: ModelRule) -> str:
+    """Return whose VMs each customer of a model may use, as text."""
+    sharing_customers = {share.customer for share in model.shares}
     return "; ".join(
         f"{rule.id} may use {', '.join(rule.may_use) or 'none'}"
         for rule in configuration.rules.customers
-        if rule.id in sharing
+        if rule.id in sharing_customers
     )
 
 
 def _count_largest_domain(
     configuration: Configuration, owners: frozenset[CustomerId]
 ) -> int:
+    """Return the largest number of the owners' VMs in one fabric domain."""
     counts: dict[str, int] = {}
     for vm in configuration.inventory.vms:
         if vm.owner in owners:
--- a/src/zinniaspool/core/validation/inventory.py
+++ b/src/zinniaspool/core/validation/inventory.py
@@ -1,4 +1,4 @@
-"""Checks of the inventory by itself."""
+"""Checks of the inventory that don't need the rules."""
 
 from zinniaspool.core.deployment import Inventory, Vm
 from zinniaspool.core.ids import FabricDomainId
@@ -12,14 +12,15 @@
 
 __all__ = ["check_inventory"]
 
-_NAMED = ("id", "failure_domain", "fabric_domain", "owner")
+_NAME_FIELDS = ("id", "failure_domain", "fabric_domain", "owner")
+"""Fields of a VM that must be names."""
 
 
 def check_inventory(inventory: Inventory) -> list[Problem]:
     """Return the problems of an inventory."""
     problems = []
     if not inventory.vms:
-        problems.append(_problem(("vms",), "no VM", "at least one VM"))
+        problems.append(_make_problem(("vms",), "no VM", "at least one VM"))
     for position, vm in enumerate(inventory.vms):
         problems += _check_vm(position, vm)
     problems += _check_repeated(inventory)
@@ -29,25 +30,25 @@
 
 def _check_vm(position: int, vm: Vm) -> list[Problem]:
     problems = [
-        _problem(
+        _make_problem(
             ("vms", position, field),
             repr(getattr(vm, field)),
             "a name of letters, digits, '-', '.', '_' and '~'",
         )
-        for field in _NAMED
+        for field in _NAME_FIELDS
         if not is_name(getattr(vm, field))
     ]
     if not is_address(vm.address):
         problems.append(
-            _problem(
+            _make_problem(
                 ("vms", position, "address"),
                 repr(vm.address),
-                'an IP number and a port, as "10.0.0.1:8080"',
+                'an IP address and a port, such as "10.0.0.1:8080"',
             )
         )
     if vm.accelerators < 1:
         problems.append(
-            _problem(
+            _make_problem(
                 ("vms", position, "accelerators"), str(vm.accelerators), "1 or more"
             )
         )
@@ -59,29 +60,29 @@
     for field in ("id", "address"):
         values = [getattr(vm, field) for vm in inventory.vms]
         problems += [
-            _problem(
-                ("vms", again, field),
-                f"{values[again]!r}, which vms[{first}] has already",
-                "one of its own for each VM",
+            _make_problem(
+                ("vms", position, field),
+                f"{values[position]!r}, which vms[{first}] already has",
+                "a value of its own for each VM",
             )
-            for again, first in find_repeated(values)
+            for position, first in find_repeated(values)
         ]
     return problems
 
 
 def _check_domains(inventory: Inventory) -> list[Problem]:
-    """Refuse a fabric domain that spans failure domains.
+    """Reject a fabric domain that spans failure domains.
 
     A group lies in one fabric domain, so the planner spreads groups over
-    failure domains by choosing fabric domains.
+    failure domains by selecting fabric domains.
     """
-    first: dict[FabricDomainId, int] = {}
+    first_positions: dict[FabricDomainId, int] = {}
     problems = []
     for position, vm in enumerate(inventory.vms):
-        earlier = inventory.vms[first.setdefault(vm.fabric_domain, position)]
+        earlier = inventory.vms[first_positions.setdefault(vm.fabric_domain, position)]
         if earlier.failure_domain != vm.failure_domain:
             problems.append(
-                _problem(
+                _make_problem(
                     ("vms", position, "failure_domain"),
                     f"{vm.failure_domain!r} for a VM of fabric domain "
                     f"{vm.fabric_domain!r}, whose VM {earlier.id!r} is in "
@@ -92,5 +93,5 @@
     return problems
 
 
-def _problem(path: tuple[str | int, ...], found: str, accepted: str) -> Problem:
+def _make_problem(path: tuple[str | int, ...], found: str, accepted: str) -> Problem:
     return Problem(ProblemFile.INVENTORY, path, found, accepted)
--- a/src/zinniaspool/core/validation/rules.py
+++ b/src/zinniaspool/core/validation/rules.py
@@ -1,4 +1,4 @@
-"""Checks of the rules by themselves."""
+"""Checks of the rules that don't need the inventory."""
 
 from collections.abc import Collection, Iterator
 
@@ -15,7 +15,8 @@
 __all__ = ["check_rules"]
 
 _Path = tuple[str | int, ...]
-_NAME = "a name of letters, digits, '-', '.', '_' and '~'"
+_NAME_FORMAT = "a name of letters, digits, '-', '.', '_' and '~'"
+"""Describes the accepted names to an operator."""
 
 
 def check_rules(rules: Rules) -> list[Problem]:
@@ -31,12 +32,12 @@
         ("services", [service.name for service in rules.services]),
     ):
         problems += [
-            _problem(
-                (kind, again, "name"),
-                f"{names[again]!r}, which {kind}[{first}] has already",
+            _make_problem(
+                (kind, repeated, "name"),
+                f"{names[repeated]!r}, which {kind}[{first}] already has",
                 "a name of its own for each",
             )
-            for again, first in find_repeated(names)
+            for repeated, first in find_repeated(names)
         ]
     return problems
 
@@ -45,10 +46,10 @@
     ids = [rule.id for rule in rules.customers]
     for position, name in enumerate(ids):
         if not is_name(name):
-            yield _problem(("customers", position, "id"), repr(name), _NAME)
-    for again, first in find_repeated(ids):
-        found = f"{ids[again]!r}, which customers[{first}] has already"
-        yield _problem(("customers", again, "id"), found, "each customer once")
+            yield _make_problem(("customers", position, "id"), repr(name), _NAME_FORMAT)
+    for repeated, first in find_repeated(ids):
+        found = f"{ids[repeated]!r}, which customers[{first}] already has"
+        yield _make_problem(("customers", repeated, "id"), found, "each customer once")
 
 
 def _check_weights(rules: Rules) -> Iterator[Problem]:
@@ -56,12 +57,12 @@
     for name in ("group_downtime", "stranded_accelerators"):
         value = getattr(repair, name)
         if value < 0:
-            yield _problem(("repair", name), f"{value:g}", "0 or more")
+            yield _make_problem(("repair", name), f"{value:g}", "0 or more")
     if repair.group_downtime == 0 and repair.stranded_accelerators == 0:
-        yield _problem(("repair",), "both weights 0", "at least one above 0")
+        yield _make_problem(("repair",), "both weights 0", "at least one above 0")
     if rules.weight_store_gb_per_s <= 0:
         found = f"{rules.weight_store_gb_per_s:g}"
-        yield _problem(("weight_store_gb_per_s",), found, "more than 0")
+        yield _make_problem(("weight_store_gb_per_s",), found, "more than 0")
 
 
 def _check_model(
@@ -69,16 +70,18 @@
 ) -> Iterator[Problem]:
     for name in ("name", "version"):
         if not is_name(getattr(model, name)):
-            yield _problem((*path, name), repr(getattr(model, name)), _NAME)
-    yield from _check_least(path, model, 1, "vms_per_group", "slots_per_group")
-    yield from _check_least(path, model, 1, "wanted_groups", "weight")
-    yield from _check_least(path, model, 0, "guaranteed_groups")
+            yield _make_problem((*path, name), repr(getattr(model, name)), _NAME_FORMAT)
+    yield from _check_minimum(path, model, 1, "vms_per_group", "slots_per_group")
+    yield from _check_minimum(path, model, 1, "wanted_groups", "weight")
+    yield from _check_minimum(path, model, 0, "guaranteed_groups")
     if model.weights_gb <= 0:
-        yield _problem((*path, "weights_gb"), f"{model.weights_gb:g}", "more than 0")
+        yield _make_problem(
+            (*path, "weights_gb"), f"{model.weights_gb:g}", "more than 0"
+        )
     if model.wanted_groups < model.guaranteed_groups:
         found = f"{model.wanted_groups}, fewer than guaranteed_groups"
         accepted = f"{model.guaranteed_groups} or more"
-        yield _problem((*path, "wanted_groups"), found, accepted)
+        yield _make_problem((*path, "wanted_groups"), found, accepted)
     capacity = model.guaranteed_groups * model.slots_per_group
     yield from _check_shares(
         path, model.shares, customers, capacity, "guaranteed_groups x slots_per_group"
@@ -89,28 +92,29 @@
     path: _Path, service: ServiceRule, customers: Collection[CustomerId]
 ) -> Iterator[Problem]:
     if not is_name(service.name):
-        yield _problem((*path, "name"), repr(service.name), _NAME)
-    yield from _check_least(path, service, 1, "slots_per_upstream")
+        yield _make_problem((*path, "name"), repr(service.name), _NAME_FORMAT)
+    yield from _check_minimum(path, service, 1, "slots_per_upstream")
     if not service.upstreams:
-        yield _problem((*path, "upstreams"), "none", "at least one upstream")
+        yield _make_problem((*path, "upstreams"), "none", "at least one upstream")
     addresses = [upstream.address for upstream in service.upstreams]
     for position, address in enumerate(addresses):
         if not is_address(address):
-            yield _problem(
+            yield _make_problem(
                 (*path, "upstreams", position, "address"),
                 repr(address),
-                'an IP number and a port, as "10.0.0.1:8080"',
+                'an IP address and a port, such as "10.0.0.1:8080"',
             )
-    for again, first in find_repeated(addresses):
-        found = f"{addresses[again]!r}, which upstreams[{first}] has already"
-        yield _problem(
-            (*path, "upstreams", again, "address"), found, "each address once"
+    for repeated, first in find_repeated(addresses):
+        found = f"{addresses[repeated]!r}, which upstreams[{first}] already has"
+        yield _make_problem(
+            (*path, "upstreams", repeated, "address"), found, "each address once"
         )
     for position, prefix in enumerate(service.non_idempotent):
         if prefix.startswith("/"):
-            # Paths are compared from behind the service's name: a leading
-            # slash would match no call, and each could run twice.
-            yield _problem(
+            # Paths are compared without the prefix that names the service. A
+            # leading slash would match no call, so that each call could run
+            # twice.
+            yield _make_problem(
                 (*path, "non_idempotent", position),
                 repr(prefix),
                 repr(prefix.lstrip("/")),
@@ -126,40 +130,40 @@
     shares: tuple[Share, ...],
     customers: Collection[CustomerId],
     capacity: int,
-    capacity_is: str,
+    capacity_formula: str,
 ) -> Iterator[Problem]:
     path = (*path, "shares")
     if not shares:
-        yield _problem(path, "none", "at least one customer's share")
+        yield _make_problem(path, "none", "at least one customer's share")
     for position, share in enumerate(shares):
-        yield from _check_least((*path, position), share, 0, "guaranteed")
-        yield from _check_least((*path, position), share, 1, "weight")
+        yield from _check_minimum((*path, position), share, 0, "guaranteed")
+        yield from _check_minimum((*path, position), share, 1, "weight")
         if share.customer not in customers:
-            yield _problem(
+            yield _make_problem(
                 (*path, position, "customer"),
-                f"{share.customer!r}, whom customers does not list",
+                f"{share.customer!r}, which customers does not list",
                 f"one of {', '.join(sorted(customers)) or 'no customers yet'}",
             )
-    for again, first in find_repeated(share.customer for share in shares):
-        found = f"{shares[again].customer!r}, whom shares[{first}] has already"
-        yield _problem((*path, again, "customer"), found, "each customer once")
+    for repeated, first in find_repeated(share.customer for share in shares):
+        found = f"{shares[repeated].customer!r}, which shares[{first}] already has"
+        yield _make_problem((*path, repeated, "customer"), found, "each customer once")
     guaranteed = sum(share.guaranteed for share in shares)
     if guaranteed > capacity:
-        yield _problem(
+        yield _make_problem(
             path,
             f"guarantees of {guaranteed} requests in all",
-            f"{capacity} or fewer ({capacity_is})",
+            f"{capacity} or fewer ({capacity_formula})",
         )
 
 
-def _check_least(
-    path: _Path, rule: object, least: int, *names: str
+def _check_minimum(
+    path: _Path, rule: object, minimum: int, *names: str
 ) -> Iterator[Problem]:
     for name in names:
         value = getattr(rule, name)
-        if value < least:
-            yield _problem((*path, name), str(value), f"{least} or more")
+        if value < minimum:
+            yield _make_problem((*path, name), str(value), f"{minimum} or more")
 
 
-def _problem(path: _Path, found: str, accepted: str) -> Problem:
+def _make_problem(path: _Path, found: str, accepted: str) -> Problem:
     return Problem(ProblemFile.RULES, path, found, accepted)
--- a/src/zinniaspool/entry/duties.py
+++ b/src/zinniaspool/entry/duties.py
@@ -97,7 +97,7 @@
         for member in self._frame.members():
             if member.role is not Role.ENTRY:
                 continue
-            if member.state is MemberState.SILENT:
+            if member.state is MemberState.UNRESPONSIVE:
                 self._lost_since.setdefault(member.node, now)
                 continue
             self._lost_since.pop(member.node, None)
--- a/src/zinniaspool/entry/forwarding.py
+++ b/src/zinniaspool/entry/forwarding.py
@@ -65,7 +65,7 @@
         for member in self._list_members():
             if member.node == node:
                 same = member.incarnation == incarnation
-                alive = member.state is not MemberState.SILENT
+                alive = member.state is not MemberState.UNRESPONSIVE
                 address = member.peer_address
                 return Owner(node, incarnation, address) if same and alive else None
         return None
@@ -74,7 +74,7 @@
         """Whether a start of a process is known to be over."""
         for member in self._list_members():
             if member.node == owner.node:
-                gone = member.state is MemberState.SILENT
+                gone = member.state is MemberState.UNRESPONSIVE
                 return gone or member.incarnation != owner.incarnation
         return False
 
--- a/src/zinniaspool/node/board.py
+++ b/src/zinniaspool/node/board.py
@@ -10,14 +10,14 @@
 
 from zinniaspool.core.ids import Address
 from zinniaspool.core.membership import (
-    Action,
-    Ask,
+    GossipAction,
     GossipLimits,
-    GossipMachine,
+    GossipStateMachine,
     Member,
     MemberRecord,
     MemberState,
     Notice,
+    SendRequest,
     Topic,
 )
 from zinniaspool.core.messages import Hello, Message
@@ -59,7 +59,7 @@
         limits: GossipLimits | None = None,
     ) -> None:
         self._links = links
-        self._machine = GossipMachine(
+        self._machine = GossipStateMachine(
             own, seeds, random.Random(), time.monotonic(), limits
         )
         self._takers: dict[Topic, list[NoticeTaker]] = defaultdict(list)
@@ -102,7 +102,7 @@
 
     def members(self) -> tuple[Member, ...]:
         """Return the processes known, this one among them, by name."""
-        return self._machine.members()
+        return self._machine.list_members()
 
     def set_state(self, state: MemberState) -> None:
         """Tell the fleet what this process does now."""
@@ -137,13 +137,13 @@
         for task in self._sending:
             task.cancel()
 
-    def _start(self, action: Action) -> None:
+    def _start(self, action: GossipAction) -> None:
         task = asyncio.create_task(self._carry_out(action))
         self._sending.add(task)
         task.add_done_callback(self._sending.discard)
 
-    async def _carry_out(self, action: Action) -> None:
-        if not isinstance(action, Ask):
+    async def _carry_out(self, action: GossipAction) -> None:
+        if not isinstance(action, SendRequest):
             await self._links.send(action.address, action.message, action.node)
             return
         reply = await self._links.ask(action.address, action.message, action.node)
@@ -152,12 +152,14 @@
             if isinstance(reply, CompareResponse | JoinPage | ProbeResponse)
             else None
         )
-        for following in self._machine.take_answer(action, answer, time.monotonic()):
+        for following in self._machine.handle_response(
+            action, answer, time.monotonic()
+        ):
             self._start(following)
         self._hand_on()
 
     def _hand_on(self) -> None:
-        for notice in self._machine.take_fresh():
+        for notice in self._machine.drain_new_notices():
             for take in self._takers[notice.topic]:
                 self._call(take, notice)
         if self._machine.roster.superseded_by and not self.superseded.is_set():
--- a/src/zinniaspool/node/follower.py
+++ b/src/zinniaspool/node/follower.py
@@ -11,15 +11,15 @@
 from zinniaspool.core.configuration import (
     PART_PREFIX,
     ROOT_KEY,
+    ActivateConfiguration,
     Announce,
-    AskPeer,
     FollowAction,
-    FollowMachine,
+    FollowStateMachine,
     PartHash,
-    PutInForce,
     ReadPart,
     ReadRoot,
     Root,
+    SendPeerRequest,
     WatchRoot,
     decode_root,
 )
@@ -93,7 +93,7 @@
         self._on_change = on_change
         self._calls: set[asyncio.Task[None]] = set()
         now = asyncio.get_running_loop().time()
-        self._machine = FollowMachine(node, seeds, random.Random(), now)
+        self._machine = FollowStateMachine(node, seeds, random.Random(), now)
 
     @property
     def revision(self) -> Revision:
@@ -102,11 +102,11 @@
 
     def state(self) -> FollowerState:
         """Return what the state dump shows."""
-        holding = self._machine.holding
+        holding = self._machine.local
         return FollowerState(
             holding.revision,
             holding.known_revision,
-            len(holding.list_missing()),
+            len(holding.list_missing_parts()),
             self._machine.watches,
             holding.unreadable,
         )
@@ -126,7 +126,7 @@
 
     def answer(self, ask: ConfigurationRequest) -> ConfigurationResponse:
         """Return what a peer asks for, as far as it is held here."""
-        return self._machine.holding.answer(ask)
+        return self._machine.local.make_response(ask)
 
     @property
     def _now(self) -> float:
@@ -136,14 +136,14 @@
         if notice.key != _ROOT_NOTICE:
             return
         announcement = decode_announcement(notice.payload)
-        self._start(self._machine.take_notice(announcement, self._now))
+        self._start(self._machine.handle_announcement(announcement, self._now))
 
     def _start(self, actions: Sequence[FollowAction]) -> None:
         for action in actions:
             match action:
                 case Announce():
                     self._announce(action)
-                case PutInForce():
+                case ActivateConfiguration():
                     self._on_change(action.configuration, action.revision)
                 case _:
                     call = asyncio.create_task(self._call(action))
@@ -165,7 +165,7 @@
                 await self._watch_root(action.after)
             case ReadPart():
                 await self._read_part(action.part)
-            case AskPeer():
+            case SendPeerRequest():
                 await self._ask_peer(action)
 
     async def _read_root(self) -> None:
@@ -175,7 +175,7 @@
             return
         value = found.ok_value
         if value is None:
-            self._start(self._machine.take_root(Revision(0), None, self._now))
+            self._start(self._machine.handle_root(Revision(0), None, self._now))
             return
         self._take_root(value.revision, value.value)
 
@@ -186,7 +186,7 @@
             return
         written = [c for c in watched.ok_value.changes if c.value is not None]
         if not written or written[-1].value is None:
-            self._start(self._machine.take_root(after, None, self._now))
+            self._start(self._machine.handle_root(after, None, self._now))
             return
         self._take_root(written[-1].revision, written[-1].value)
 
@@ -194,24 +194,24 @@
         root = _read(value)
         if root is None:
             _log.error("configuration-unreadable", revision=revision)
-            self._machine.take_store_failure(self._now)
+            self._machine.handle_store_failure(self._now)
             return
-        self._start(self._machine.take_root(revision, root, self._now))
+        self._start(self._machine.handle_root(revision, root, self._now))
 
     async def _read_part(self, part: PartHash) -> None:
         found = await self._store.get(PART_PREFIX + part)
         value = found.ok_value if isinstance(found, Ok) else None
         content = value.value if value is not None else None
-        self._start(self._machine.take_part(part, content, self._now))
+        self._start(self._machine.handle_part(part, content, self._now))
 
-    async def _ask_peer(self, action: AskPeer) -> None:
+    async def _ask_peer(self, action: SendPeerRequest) -> None:
         reply = await self._links.ask(action.address, action.message, action.node)
         answer = reply if isinstance(reply, ConfigurationResponse) else None
-        self._start(self._machine.take_peer(action, answer, self._now))
+        self._start(self._machine.handle_peer_response(action, answer, self._now))
 
     def _fail(self, fault: StoreFault) -> None:
         _log.warning("store-unreachable", fault=fault.value)
-        self._machine.take_store_failure(self._now)
+        self._machine.handle_store_failure(self._now)
 
 
 def _read(value: str) -> Root | None:
--- a/src/zinniaspool/node/lag.py
+++ b/src/zinniaspool/node/lag.py
@@ -38,7 +38,7 @@
     gate = asyncio.Semaphore(_AT_ONCE)
 
     async def ask(member: Member) -> MemberRevision:
-        if member.state is MemberState.SILENT:
+        if member.state is MemberState.UNRESPONSIVE:
             return MemberRevision(member.node, member.state, None)
         async with gate:
             reply = await links.ask(
--- a/src/zinniaspool/settings/types.py
+++ b/src/zinniaspool/settings/types.py
@@ -29,7 +29,7 @@
     Raises:
         ValueError: It is not.
     """
-    if not is_address(value, least_port=0):
+    if not is_address(value, min_port=0):
         raise ValueError('an IP number and a port, as "10.0.0.1:8080"')
     return value
 
--- a/src/zinniaspool/store/configurations.py
+++ b/src/zinniaspool/store/configurations.py
@@ -18,8 +18,8 @@
     decode_root,
     encode_root,
     hash_content,
-    history_key,
-    name_parts,
+    hash_parts,
+    make_history_key,
 )
 from zinniaspool.core.ids import Revision
 from zinniaspool.store.client import Store, StoreFault, StoreValue
@@ -105,7 +105,7 @@
         found = current.ok_value
         if found is not None and found.revision == revision:
             return await self._read_at(ROOT_KEY)
-        past = await self._read_at(history_key(revision))
+        past = await self._read_at(make_history_key(revision))
         if isinstance(past, Err) or past.ok_value is None:
             return past
         kept = past.ok_value
@@ -152,7 +152,7 @@
         root = Root(
             proposal.tag,
             proposal.author,
-            name_parts(proposal.contents),
+            hash_parts(proposal.contents),
             base.revision if base else Revision(0),
             base.root.number + 1 if base else 1,
             proposal.reason,
@@ -243,7 +243,7 @@
         return fault
 
     async def _keep_history(self, base: AcceptedRoot) -> StoreFault | None:
-        key = history_key(base.revision)
+        key = make_history_key(base.revision)
         fault = StoreFault.UNKNOWN
         for _ in range(_TRIES):
             written = await self._store.swap(key, encode_root(base.root), Revision(0))
@@ -291,7 +291,7 @@
                 return Ok(value.revision)
             if held.number <= root.number or held.base == Revision(0):
                 return Ok(None)
-            earlier = await self._get_root(history_key(held.base))
+            earlier = await self._get_root(make_history_key(held.base))
             if isinstance(earlier, Ok) and earlier.ok_value is None:
                 return Err(StoreFault.UNKNOWN)
             if isinstance(earlier, Ok) and earlier.ok_value is not None:
--- a/tests/gossip_net.py
+++ b/tests/gossip_net.py
@@ -1,4 +1,4 @@
-"""Many gossip machines in one process over a network of the test's making."""
+"""Simulation of many gossip state machines over a faulty network."""
 
 import heapq
 import itertools
@@ -11,13 +11,13 @@
 
 from zinniaspool.core.ids import Address, FailureDomainId, Incarnation, NodeId
 from zinniaspool.core.membership import (
-    Ask,
     GossipLimits,
-    GossipMachine,
+    GossipStateMachine,
     MemberRecord,
     MemberState,
     Role,
-    Tell,
+    SendMessage,
+    SendRequest,
 )
 from zinniaspool.core.messages.membership import (
     CompareRequest,
@@ -27,48 +27,52 @@
     ProbeResponse,
 )
 
-__all__ = ["GossipNet"]
+__all__ = ["GossipNetwork"]
 
 _STEP_S = 0.1
-_ASK_S = 1.0
+"""Seconds between two steps of a state machine."""
+_REQUEST_TIMEOUT_S = 1.0
+"""Seconds after which a request without a response fails."""
 _HEADER_BYTES = 4
+"""Bytes that a frame's header adds to each message."""
 _encoder = msgspec.msgpack.Encoder()
 
-Reaches = Callable[[NodeId, NodeId], bool]
+CanReach = Callable[[NodeId, NodeId], bool]
+"""Whether messages of the first node reach the second."""
 
 
 @dataclass(order=True)
-class _Event:
+class _ScheduledCall:
     at: float
     number: int
     run: Callable[[], None] = field(compare=False)
 
 
-def _always(_: NodeId, __: NodeId) -> bool:
+def _reaches_always(_: NodeId, __: NodeId) -> bool:
     return True
 
 
-class GossipNet:
-    """Runs machines over simulated time; counts messages and bytes.
+class GossipNetwork:
+    """Runs gossip state machines over simulated time.
 
-    A question that cannot reach its peer, or whose answer cannot come back,
-    fails after the time that the real links wait.
+    It counts messages and bytes. A request that can't reach its peer, or whose
+    response can't return, fails after the timeout of the real links.
     """
 
     def __init__(self, seed: int = 1, limits: GossipLimits | None = None) -> None:
         self.now = 0.0
-        self.source = random.Random(seed)
+        self.rng = random.Random(seed)
         self.limits = limits or GossipLimits()
-        self.machines: dict[NodeId, GossipMachine] = {}
+        self.machines: dict[NodeId, GossipStateMachine] = {}
         self.addresses: dict[Address, NodeId] = {}
         self.frozen: set[NodeId] = set()
-        self.reaches: Reaches = _always
-        self.loss = 0.0
+        self.can_reach: CanReach = _reaches_always
+        self.loss_probability = 0.0
         self.messages: Counter[NodeId] = Counter()
         self.sent_bytes: Counter[NodeId] = Counter()
         self.steps = 0
-        self._events: list[_Event] = []
-        self._numbers = itertools.count()
+        self._scheduled_calls: list[_ScheduledCall] = []
+        self._sequence_numbers = itertools.count()
 
     def start(
         self,
@@ -76,8 +80,8 @@
         seeds: Iterable[str] = (),
         address: str | None = None,
         domain: str = "domain0",
-    ) -> GossipMachine:
-        """Start one machine, a replacement if the name is taken."""
+    ) -> GossipStateMachine:
+        """Start one state machine; it replaces one with the same name."""
         node = NodeId(name)
         peer = Address(address or name)
         record = MemberRecord(
@@ -91,128 +95,171 @@
             Address(""),
             1,
         )
-        source = random.Random(self.source.random())
-        machine = GossipMachine(
-            record, [Address(s) for s in seeds], source, self.now, self.limits
+        rng = random.Random(self.rng.random())
+        machine = GossipStateMachine(
+            record, [Address(s) for s in seeds], rng, self.now, self.limits
         )
         self.machines[node] = machine
         self.addresses[peer] = node
-        self._after(self.source.random() * _STEP_S, lambda: self._step(node, machine))
+        self._call_after(self.rng.random() * _STEP_S, lambda: self._step(node, machine))
         return machine
 
     def stop(self, name: str) -> None:
-        """Kill one machine."""
+        """Kill one state machine."""
         del self.machines[NodeId(name)]
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
-        ends = self.now + seconds
-        while self._events and self._events[0].at <= ends:
-            event = heapq.heappop(self._events)
+        """Advance the simulated time."""
+        end_at = self.now + seconds
+        while self._scheduled_calls and self._scheduled_calls[0].at <= end_at:
+            event = heapq.heappop(self._scheduled_calls)
             self.now = event.at
             event.run()
-        self.now = ends
+        self.now = end_at
 
-    def run_until(self, check: Callable[[], bool], most_s: float) -> float:
-        """Let time pass until a check holds; return how long it took."""
-        began = self.now
+    def run_until(self, check: Callable[[], bool], max_s: float) -> float:
+        """Advance the time until a check is true; return how long it took."""
+        started_at = self.now
         while not check():
-            assert self.now - began < most_s, "did not come true in time"
+            assert self.now - started_at < max_s, (
+                "the check did not become true in time"
+            )
             self.run(_STEP_S)
-        return self.now - began
+        return self.now - started_at
 
-    def settle(self, node: NodeId) -> None:
-        """Called after each event of a node; hands on what became known."""
-        self.machines[node].take_fresh()
+    def process_updates(self, node: NodeId) -> None:
+        """Drain new notices; is called after each event of a node."""
+        self.machines[node].drain_new_notices()
 
-    def _after(self, seconds: float, run: Callable[[], None]) -> None:
-        event = _Event(self.now + seconds, next(self._numbers), run)
-        heapq.heappush(self._events, event)
+    def _call_after(self, seconds: float, run: Callable[[], None]) -> None:
+        event = _ScheduledCall(self.now + seconds, next(self._sequence_numbers), run)
+        heapq.heappush(self._scheduled_calls, event)
 
-    def _is(self, node: NodeId, machine: GossipMachine) -> bool:
+    def _is_running(self, node: NodeId, machine: GossipStateMachine) -> bool:
         return self.machines.get(node) is machine
 
-    def _step(self, node: NodeId, machine: GossipMachine) -> None:
-        if not self._is(node, machine):
+    def _step(self, node: NodeId, machine: GossipStateMachine) -> None:
+        if not self._is_running(node, machine):
             return
         if node not in self.frozen:
             self.steps += 1
             for action in machine.step(self.now):
-                self._carry_out(node, machine, action)
-            self.settle(node)
-        self._after(_STEP_S, lambda: self._step(node, machine))
+                self._send(node, machine, action)
+            self.process_updates(node)
+        self._call_after(_STEP_S, lambda: self._step(node, machine))
 
-    def _carry_out(
-        self, node: NodeId, machine: GossipMachine, action: Ask | Tell
+    def _send(
+        self,
+        node: NodeId,
+        machine: GossipStateMachine,
+        action: SendRequest | SendMessage,
     ) -> None:
-        self._count(node, action.message)
-        target = self._find(node, action.address, action.node)
-        if isinstance(action, Tell):
+        self._count_sent(node, action.message)
+        target = self._find_reached(node, action.address, action.node)
+        if isinstance(action, SendMessage):
             if target is not None:
-                self._after(self._delay(), lambda: self._tell(node, target, action))
+                self._call_after(
+                    self._draw_delay(),
+                    lambda: self._deliver_message(node, target, action),
+                )
             return
         if target is None:
-            self._after(_ASK_S, lambda: self._answer(node, machine, action, None))
+            self._call_after(
+                _REQUEST_TIMEOUT_S,
+                lambda: self._deliver_response(node, machine, action, None),
+            )
             return
-        self._after(self._delay(), lambda: self._ask(node, machine, target, action))
+        self._call_after(
+            self._draw_delay(),
+            lambda: self._deliver_request(node, machine, target, action),
+        )
 
-    def _find(
-        self, node: NodeId, address: Address, meant: NodeId | None
+    def _find_reached(
+        self, node: NodeId, address: Address, expected_node: NodeId | None
     ) -> NodeId | None:
         target = self.addresses.get(address)
-        if target not in self.machines or (meant is not None and target != meant):
+        if target not in self.machines or (
+            expected_node is not None and target != expected_node
+        ):
             return None
-        if not self.reaches(node, target) or self.source.random() < self.loss:
+        if (
+            not self.can_reach(node, target)
+            or self.rng.random() < self.loss_probability
+        ):
             return None
         return target
 
-    def _tell(self, node: NodeId, target: NodeId, action: Tell) -> None:
+    def _deliver_message(
+        self, node: NodeId, target: NodeId, action: SendMessage
+    ) -> None:
         if target in self.machines and target not in self.frozen:
             self.machines[target].receive(node, action.message, self.now)
-            self.settle(target)
+            self.process_updates(target)
 
-    def _ask(
-        self, node: NodeId, machine: GossipMachine, target: NodeId, ask: Ask
+    def _deliver_request(
+        self,
+        node: NodeId,
+        machine: GossipStateMachine,
+        target: NodeId,
+        request: SendRequest,
     ) -> None:
-        asked = self.machines.get(target)
-        answer: ProbeResponse | CompareResponse | JoinPage | None = None
-        if asked is not None and target not in self.frozen:
-            if isinstance(ask.message, ProbeRequest):
-                probed = self._find(target, ask.message.address, ask.message.node)
-                alive = probed is not None and probed not in self.frozen
-                back = probed is not None and self.reaches(probed, target)
-                answer = ProbeResponse(alive and back)
-                self._count(target, CompareRequest((), ()))
+        recipient = self.machines.get(target)
+        response: ProbeResponse | CompareResponse | JoinPage | None = None
+        if recipient is not None and target not in self.frozen:
+            if isinstance(request.message, ProbeRequest):
+                probed = self._find_reached(
+                    target, request.message.address, request.message.node
+                )
+                is_reached = probed is not None and probed not in self.frozen
+                can_respond = probed is not None and self.can_reach(probed, target)
+                response = ProbeResponse(is_reached and can_respond)
+                self._count_sent(target, CompareRequest((), ()))
             else:
-                answer = asked.receive(node, ask.message, self.now)
-                self.settle(target)
-            self._count(target, answer)
-        lost = not self.reaches(target, node) or self.source.random() < self.loss
-        if answer is None or lost:
-            self._after(_ASK_S, lambda: self._answer(node, machine, ask, None))
+                response = recipient.receive(node, request.message, self.now)
+                self.process_updates(target)
+            self._count_sent(target, response)
+        is_lost = (
+            not self.can_reach(target, node)
+            or self.rng.random() < self.loss_probability
+        )
+        if response is None or is_lost:
+            self._call_after(
+                _REQUEST_TIMEOUT_S,
+                lambda: self._deliver_response(node, machine, request, None),
+            )
             return
-        self._after(self._delay(), lambda: self._answer(node, machine, ask, answer))
+        self._call_after(
+            self._draw_delay(),
+            lambda: self._deliver_response(node, machine, request, response),
+        )
 
-    def _answer(
-        self, node: NodeId, machine: GossipMachine, ask: Ask, answer: object
+    def _deliver_response(
+        self,
+        node: NodeId,
+        machine: GossipStateMachine,
+        request: SendRequest,
+        response: object,
     ) -> None:
-        if not self._is(node, machine):
+        if not self._is_running(node, machine):
             return
         if node in self.frozen:
-            self._after(_STEP_S, lambda: self._answer(node, machine, ask, answer))
+            self._call_after(
+                _STEP_S,
+                lambda: self._deliver_response(node, machine, request, response),
+            )
             return
-        for action in machine.take_answer(ask, answer, self.now):  # type: ignore[arg-type]
-            self._carry_out(node, machine, action)
-        self.settle(node)
+        for action in machine.handle_response(request, response, self.now):  # type: ignore[arg-type]
+            self._send(node, machine, action)
+        self.process_updates(node)
 
-    def _count(self, node: NodeId, message: object) -> None:
+    def _count_sent(self, node: NodeId, message: object) -> None:
         self.messages[node] += 1
         self.sent_bytes[node] += len(_encoder.encode(message)) + _HEADER_BYTES
 
-    def _delay(self) -> float:
-        return 0.001 + 0.01 * self.source.random()
+    def _draw_delay(self) -> float:
+        return 0.001 + 0.01 * self.rng.random()
 
 
-def describe_states(machine: GossipMachine) -> dict[str, MemberState]:
-    """Return what a machine holds of each member."""
-    return {str(member.node): member.state for member in machine.members()}
+def describe_states(machine: GossipStateMachine) -> dict[str, MemberState]:
+    """Return the state of each member as one state machine knows it."""
+    return {str(member.node): member.state for member in machine.list_members()}
--- a/tests/test_configuration_accepting.py
+++ b/tests/test_configuration_accepting.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: accepted once, or refused with the reason."""
+"""Changes of the configuration are accepted once or refused with a reason."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -35,20 +35,21 @@
 
 
 @dataclass(slots=True)
-class _Store:
-    """A store in memory that loses answers of writes to the root.
+class _LossyStore:
+    """A store in memory that loses requests and responses of root writes.
 
     Attributes:
-        lost: How many of the next root writes take effect and are answered
-            by nothing.
-        refused: How many of the next root writes never arrive.
-        before_root: Called before each root write.
-        after_root: Called after each root write took effect.
+        state: The store's contents.
+        lost_responses: Number of the next root writes that take effect but
+            whose response is lost.
+        lost_requests: Number of the next root writes that never arrive.
+        before_root: Called once, before the next root write.
+        after_root: Called once, after the next root write took effect.
     """
 
     state: KeyValueState = field(default_factory=KeyValueState)
-    lost: int = 0
-    refused: int = 0
+    lost_responses: int = 0
+    lost_requests: int = 0
     before_root: Hook | None = None
     after_root: Hook | None = None
 
@@ -64,8 +65,8 @@
         if key == ROOT_KEY and self.before_root is not None:
             hook, self.before_root = self.before_root, None
             await hook(key)
-        if key == ROOT_KEY and self.refused:
-            self.refused -= 1
+        if key == ROOT_KEY and self.lost_requests:
+            self.lost_requests -= 1
             return Err(StoreFault.UNKNOWN)
         written = self.state.swap(key, value, expected, lease)
         if isinstance(written, StoreFault):
@@ -73,8 +74,8 @@
         if key == ROOT_KEY and self.after_root is not None:
             hook, self.after_root = self.after_root, None
             await hook(key)
-        if key == ROOT_KEY and self.lost:
-            self.lost -= 1
+        if key == ROOT_KEY and self.lost_responses:
+            self.lost_responses -= 1
             return Err(StoreFault.UNKNOWN)
         return Ok(written)
 
@@ -102,21 +103,21 @@
     return Proposal(tag or f"tag{change}", "operator", contents)
 
 
-async def _read(store: _Store) -> AcceptedRoot | None:
+async def _read(store: _LossyStore) -> AcceptedRoot | None:
     return (await ConfigurationStore(store).read()).unwrap()
 
 
-async def _accept(store: _Store, change: int, tag: str = "") -> Revision:
+async def _accept(store: _LossyStore, change: int, tag: str = "") -> Revision:
     base = await _read(store)
     accepted = await ConfigurationStore(store).accept(_propose(change, tag), base)
     return accepted.unwrap()
 
 
 def test_of_two_racing_operators_the_second_sees_what_the_first_changed() -> None:
-    """Both read the same base; the loser's parts change nothing in force."""
+    """Both read the same base; the parts of the second change nothing."""
 
     async def race() -> None:
-        store = _Store()
+        store = _LossyStore()
         await _accept(store, 1)
         base = await _read(store)
         first = await ConfigurationStore(store).accept(_propose(2), base)
@@ -137,25 +138,26 @@
 
 
 @pytest.mark.parametrize("overtaken", [False, True])
-def test_a_lost_answer_is_settled_by_reading_back(overtaken: bool) -> None:
-    """The swap took effect, its answer was lost; perhaps another one followed.
+def test_a_lost_response_is_resolved_by_reading_back(overtaken: bool) -> None:
+    """A swap took effect, its response was lost, another swap may follow.
 
-    Taken for a failure, the operator would apply it again over the other's
-    change. Its tag in the root, or in the history once it was replaced, shows
-    that it was accepted, and at which revision.
+    If this counted as a failure, the operator would apply the change again,
+    over the change of another operator. The tag in the root, or in the history
+    once the root was replaced, shows that the change was accepted and at which
+    revision.
     """
 
     async def lose() -> None:
-        store = _Store()
+        store = _LossyStore()
         await _accept(store, 1)
         base = await _read(store)
 
         async def overtake(_: str) -> None:
-            store.lost = 0
+            store.lost_responses = 0
             await _accept(store, 5)
-            store.lost = 1
+            store.lost_responses = 1
 
-        store.lost = 1
+        store.lost_responses = 1
         if overtaken:
             store.after_root = overtake
         accepted = await ConfigurationStore(store).accept(_propose(2), base)
@@ -171,11 +173,11 @@
     asyncio.run(lose())
 
 
-def test_a_write_that_never_arrived_is_made_again_once() -> None:
+def test_a_write_that_never_arrived_is_retried_once() -> None:
     async def retry() -> None:
-        store = _Store()
+        store = _LossyStore()
         await _accept(store, 1)
-        store.refused = 2
+        store.lost_requests = 2
         revision = await _accept(store, 2)
         now = await _read(store)
         assert now is not None
@@ -186,15 +188,16 @@
 
 
 def test_parts_of_a_change_in_progress_survive_a_collection() -> None:
-    """A change is about to be accepted when another operator collects.
+    """Another operator collects garbage while a change is being accepted.
 
-    Its parts are named by no root yet. Were they deleted, the root accepted
-    a moment later would name parts that nobody has, and no process could put
-    it in force. That holds for new parts and for one left from before.
+    No root names the parts of the change yet. If they were deleted, the root
+    accepted a moment later would name parts that no process has, and no
+    process could activate it. This holds for new parts and for parts left
+    from an earlier attempt.
     """
 
     async def collect() -> None:
-        store = _Store()
+        store = _LossyStore()
         left = _propose(3).contents
         for content in left.values():
             store.state.swap(
@@ -216,9 +219,9 @@
     asyncio.run(collect())
 
 
-def test_collection_bounds_history_and_parts_and_keeps_the_way_back() -> None:
+def test_collection_bounds_history_and_parts_and_keeps_rollbacks_possible() -> None:
     async def grow() -> None:
-        store = _Store()
+        store = _LossyStore()
         for change in range(1, 200):
             await _accept(store, change)
         keys = [value.key for value in store.state.list("config/").values]
@@ -235,7 +238,7 @@
     asyncio.run(grow())
 
 
-def test_parts_make_the_configuration_that_was_split() -> None:
+def test_joined_parts_equal_the_configuration_that_was_split() -> None:
     configuration = make_configuration(1, customers=3, vms=12, domains=3)
     contents = split_parts(configuration)
     assert len(contents) == 1 + 3 + 3
@@ -248,9 +251,9 @@
     assert set(joined.inventory.vms) == set(configuration.inventory.vms)
 
 
-def test_an_accepted_root_names_its_base_and_who_made_it() -> None:
+def test_an_accepted_root_names_its_base_and_its_author() -> None:
     async def accept() -> None:
-        store = _Store()
+        store = _LossyStore()
         first = await _accept(store, 1)
         await _accept(store, 2)
         found = store.state.get(ROOT_KEY)
--- a/tests/test_configuration_following.py
+++ b/tests/test_configuration_following.py
@@ -1,4 +1,4 @@
-"""Followers over a faulty network and store: nothing accepted is reverted."""
+"""Followers over a faulty network and store never revert a change."""
 
 from functools import partial
 
@@ -11,8 +11,8 @@
     rule,
 )
 
-from tests.configuration_net import ConfigurationNet, make_configuration
-from zinniaspool.core.configuration.holding import Holding, Manifest
+from tests.configuration_net import ConfigurationNetwork, make_configuration
+from zinniaspool.core.configuration.holding import LocalConfiguration, Manifest
 from zinniaspool.core.configuration.parts import (
     ROOT_KEY,
     PartHash,
@@ -20,10 +20,10 @@
     Root,
     encode_root,
     hash_content,
-    name_parts,
+    hash_parts,
     split_parts,
 )
-from zinniaspool.core.configuration.votes import StartVote
+from zinniaspool.core.configuration.votes import StartupVote
 from zinniaspool.core.ids import NodeId, Revision
 from zinniaspool.core.messages.configuration import (
     Announcement,
@@ -34,30 +34,30 @@
 
 _NODES = [f"n{k}" for k in range(6)]
 _SEEDS = _NODES[:3]
-_IN_FORCE_S = 9.0
-_SETTLE_S = 60.0
+_ACTIVATION_TIMEOUT_S = 9.0
+_RECOVERY_TIMEOUT_S = 60.0
 
 
-def _start_net(seed: int, nodes: int = 6) -> ConfigurationNet:
-    net = ConfigurationNet(seed)
+def _start_net(seed: int, nodes: int = 6) -> ConfigurationNetwork:
+    net = ConfigurationNetwork(seed)
     net.accept(make_configuration(0))
     for k in range(nodes):
         net.start(f"n{k}", _SEEDS, domain=f"domain{k % 2}")
-    net.run_until(lambda: net.has_everywhere(Revision(1)), 30.0)
+    net.run_until(lambda: net.is_active_everywhere(Revision(1)), 30.0)
     return net
 
 
-def _cut_off(net: ConfigurationNet, *names: str) -> None:
+def _cut_off(net: ConfigurationNetwork, *names: str) -> None:
     inside = {NodeId(name) for name in names}
-    net.reaches = lambda a, b: (a in inside) == (b in inside)
+    net.can_reach = lambda a, b: (a in inside) == (b in inside)
 
 
-class FollowingMachine(RuleBasedStateMachine):
+class FollowingRules(RuleBasedStateMachine):
     """Changes, restarts, partitions, freezes and outages in any order.
 
-    The network itself checks each configuration as it comes in force: it
-    was accepted, whole, later than what the process had, and for a process
-    that started anew no older than what had been acknowledged.
+    The simulated network checks each activated configuration: it was accepted
+    and is complete, it is newer than the previous one of the process, and in
+    a restarted process it is not older than the acknowledged one.
     """
 
     @initialize(seed=st.integers(0, 10_000))
@@ -83,23 +83,23 @@
 
     @rule(names=st.sets(st.sampled_from(_NODES), min_size=1, max_size=4))
     def cut_one_way(self, names: set[str]) -> None:
-        self.net.reaches = lambda a, b: not (a in names and b not in names)
+        self.net.can_reach = lambda a, b: not (a in names and b not in names)
 
     @rule()
     def heal(self) -> None:
-        self.net.reaches = lambda _, __: True
+        self.net.can_reach = lambda _, __: True
 
     @rule(name=st.sampled_from(_NODES))
     def freeze(self, name: str) -> None:
         self.net.frozen ^= {NodeId(name)}
 
-    @rule(out=st.booleans())
-    def switch_store(self, out: bool) -> None:
-        self.net.store_out = out
+    @rule(is_down=st.booleans())
+    def switch_store(self, is_down: bool) -> None:
+        self.net.store_is_down = is_down
 
     @rule(names=st.sets(st.sampled_from(_NODES), max_size=3), hang=st.booleans())
     def hinder_store(self, names: set[str], hang: bool) -> None:
-        self.net.store_cut = {NodeId(name) for name in names}
+        self.net.cut_off_from_store = {NodeId(name) for name in names}
         self.net.watches_hang = hang
 
     @rule()
@@ -112,7 +112,7 @@
 
     @rule(loss=st.sampled_from([0.0, 0.2]))
     def lose(self, loss: float) -> None:
-        self.net.loss = loss
+        self.net.loss_probability = loss
 
     @invariant()
     def clocks_run(self) -> None:
@@ -120,105 +120,112 @@
             self.net.run(0.1)
 
     def teardown(self) -> None:
-        """Whatever came before, a healthy fleet has the last change."""
+        """After all faults have ended, every process has the last change."""
         if not hasattr(self, "net"):
             return
         net = self.net
-        net.reaches = lambda _, __: True
+        net.can_reach = lambda _, __: True
         net.frozen.clear()
-        net.store_out = net.watches_hang = False
-        net.store_cut = set()
-        net.loss = 0.0
+        net.store_is_down = net.watches_hang = False
+        net.cut_off_from_store = set()
+        net.loss_probability = 0.0
         newest = max(net.accepted)
-        net.run_until(lambda: net.has_everywhere(newest), _SETTLE_S)
+        net.run_until(lambda: net.is_active_everywhere(newest), _RECOVERY_TIMEOUT_S)
 
 
-FollowingMachine.TestCase.settings = settings(
+FollowingRules.TestCase.settings = settings(
     max_examples=50,
     stateful_step_count=25,
     deadline=None,
     derandomize=True,
     suppress_health_check=list(HealthCheck),
 )
-TestFollowing = FollowingMachine.TestCase
+TestFollowing = FollowingRules.TestCase
 
 
-def test_a_change_is_in_force_everywhere_within_the_bound() -> None:
+def test_a_change_is_active_everywhere_within_the_bound() -> None:
     net = _start_net(1, nodes=24)
     for change in range(1, 5):
         revision = net.accept(make_configuration(change))
-        net.run_until(partial(net.has_everywhere, revision), _IN_FORCE_S)
+        net.run_until(
+            partial(net.is_active_everywhere, revision), _ACTIVATION_TIMEOUT_S
+        )
 
 
 def test_only_the_parts_that_changed_are_read_and_few_processes_read_them() -> None:
-    """The store is asked by two watchers a failure domain, for one part."""
+    """Two watchers in each failure domain read one part from the store."""
     net = _start_net(2, nodes=24)
     net.run(5.0)
     net.calls.clear()
     revision = net.accept(make_configuration(1, customers=3))
-    net.run_until(lambda: net.has_everywhere(revision), _IN_FORCE_S)
+    net.run_until(lambda: net.is_active_everywhere(revision), _ACTIVATION_TIMEOUT_S)
     assert net.calls["ReadPart"] <= 2 * 2
     assert net.calls["WatchRoot"] <= 2 * 2
 
 
 @pytest.mark.parametrize("stale", [1, 2])
 def test_a_start_in_an_outage_beside_stale_peers_is_not_ready(stale: int) -> None:
-    """A process that had change 2 restarts, and meets only those without it.
+    """Guards against a restarted process that reverts its own last change.
 
-    The store goes out, and a partition has left some peers with change 1.
-    Taking their word would turn back change 2, which the process had in
-    force and had said so; so it stays not ready until it meets the rest.
+    The process had activated and acknowledged change 2. The store fails, and
+    a partition has left some peers with change 1. The process restarts and
+    reaches only these peers. If it accepted their configuration, it would
+    revert change 2, so it stays not ready until it reaches the others.
     """
     net = _start_net(3)
-    behind = [f"n{k}" for k in range(5, 5 - stale, -1)]
-    _cut_off(net, *behind)
-    net.store_cut = {NodeId(name) for name in behind}
+    outdated = [f"n{k}" for k in range(5, 5 - stale, -1)]
+    _cut_off(net, *outdated)
+    net.cut_off_from_store = {NodeId(name) for name in outdated}
     change = net.accept(make_configuration(1))
     net.run(9.0)
     net.acknowledge()
     assert net.acknowledged == change
-    net.store_out = True
-    _cut_off(net, *behind, "n0")
+    net.store_is_down = True
+    _cut_off(net, *outdated, "n0")
     net.start("n0", _SEEDS)
     net.run(40.0)
     assert net.followers[NodeId("n0")].revision == 0
-    net.reaches = lambda _, __: True
-    net.run_until(lambda: net.has_everywhere(change), _SETTLE_S)
+    net.can_reach = lambda _, __: True
+    net.run_until(lambda: net.is_active_everywhere(change), _RECOVERY_TIMEOUT_S)
 
 
-def test_members_that_hold_nothing_do_not_vouch() -> None:
-    """Two of three answer, but one has itself restarted with nothing."""
+def test_members_without_a_configuration_do_not_vote() -> None:
+    """Two of three members respond, but one restarted without its state."""
     net = _start_net(3, nodes=4)
-    others = [m for m in net.machines[NodeId("n0")].members() if m.node != "n0"]
-    vote = StartVote([])
-    vote.choose(others, 3, 0.0, net.source)
-    vote.take(NodeId("n1"), Revision(1))
-    vote.take(NodeId("n2"), Revision(0))
+    others = [
+        member
+        for member in net.machines[NodeId("n0")].list_members()
+        if member.node != "n0"
+    ]
+    vote = StartupVote([])
+    vote.choose_voters(others, 3, 0.0, net.rng)
+    vote.record_vote(NodeId("n1"), Revision(1))
+    vote.record_vote(NodeId("n2"), Revision(0))
     assert vote.decide() is None
-    vote.take(NodeId("n3"), Revision(2))
+    vote.record_vote(NodeId("n3"), Revision(2))
     assert vote.decide() == 2
 
 
-def test_a_start_in_an_outage_takes_the_newest_from_its_peers() -> None:
-    """Peers hold change 1 and the store is out: the new process has it too."""
+def test_a_start_in_an_outage_gets_the_newest_from_its_peers() -> None:
+    """The store is down; a new process gets change 1 from its peers."""
     net = _start_net(4)
     change = net.accept(make_configuration(1))
-    net.run_until(lambda: net.has_everywhere(change), _IN_FORCE_S)
-    net.store_out = True
+    net.run_until(lambda: net.is_active_everywhere(change), _ACTIVATION_TIMEOUT_S)
+    net.store_is_down = True
     net.start("n4", _SEEDS)
-    net.run_until(lambda: net.has_everywhere(change), _SETTLE_S)
+    net.run_until(lambda: net.is_active_everywhere(change), _RECOVERY_TIMEOUT_S)
 
 
 def test_all_processes_restarted_in_an_outage_are_not_ready_until_it_ends() -> None:
-    """Nobody remembers anything: serving must wait for the store."""
+    """No process has a configuration, so all must wait for the store."""
     net = _start_net(5)
-    net.store_out = True
+    net.store_is_down = True
     for k in range(6):
         net.start(f"n{k}", _SEEDS, domain=f"domain{k % 2}")
     net.run(30.0)
-    assert all(f.revision == 0 for f in net.followers.values())
-    net.store_out = False
-    net.run_until(lambda: net.has_everywhere(Revision(1)), _SETTLE_S)
+    assert all(follower.revision == 0 for follower in net.followers.values())
+    net.store_is_down = False
+    net.run_until(lambda: net.is_active_everywhere(Revision(1)), _RECOVERY_TIMEOUT_S)
 
 
 def test_every_process_restarted_in_turn_under_changes_keeps_the_newest() -> None:
@@ -226,36 +233,37 @@
     for k in range(6):
         revision = net.accept(make_configuration(k + 1))
         net.start(f"n{k}", _SEEDS, domain=f"domain{k % 2}")
-        net.run_until(partial(net.has_everywhere, revision), _SETTLE_S)
+        net.run_until(partial(net.is_active_everywhere, revision), _RECOVERY_TIMEOUT_S)
 
 
-def test_hanging_watches_delay_a_change_by_a_check_in_at_most() -> None:
-    """Every watch hangs: processes that look for themselves find the change.
+def test_hanging_watches_delay_a_change_by_one_poll_at_most() -> None:
+    """Every watch hangs, and the processes that poll the store find a change.
 
-    A watch that never answers looks like a store without changes. Its own
-    time limit and the slow looks of all others bound the delay.
+    A watch that never responds looks like a store without changes. The
+    timeout of the watch and the slow polls of all other processes bound the
+    delay.
     """
     net = _start_net(7)
     net.watches_hang = True
     revision = net.accept(make_configuration(1))
-    net.run_until(lambda: net.has_everywhere(revision), 150.0)
+    net.run_until(lambda: net.is_active_everywhere(revision), 150.0)
 
 
-def test_the_store_coming_back_is_not_asked_by_all_at_once() -> None:
-    """After a long outage calls in any second stay few beside the fleet.
+def test_a_recovered_store_is_not_called_by_all_at_once() -> None:
+    """After a long outage, few processes call the store in any one second.
 
-    All processes see the same outage. Their pauses are drawn at random over
-    up to 15 s, so that of 20 processes only a few ask in the same second.
+    All processes see the same outage. Their pauses are random over up to
+    15 s, so that only a few of 20 processes call in the same second.
     """
     net = _start_net(8, nodes=20)
-    net.store_out = True
+    net.store_is_down = True
     net.run(60.0)
     peaks = []
     for _ in range(20):
         net.calls.clear()
         net.run(1.0)
         peaks.append(net.calls.total())
-    net.store_out = False
+    net.store_is_down = False
     for _ in range(20):
         net.calls.clear()
         net.run(1.0)
@@ -264,18 +272,18 @@
 
 
 @pytest.mark.bounds
-def test_a_whole_fleet_starting_at_once_asks_the_store_little() -> None:
-    """64 processes start with nothing; parts are read by few of them.
+def test_a_whole_fleet_starting_at_once_makes_few_store_calls() -> None:
+    """64 processes start without a configuration, and few of them read parts.
 
-    Each knows too few others at first and could take itself for a watcher.
-    Were all to read all 52 parts, there would be over 50 calls a process.
+    Each knows too few others at first and could consider itself a watcher. If
+    all of them read all 52 parts, there would be over 50 calls a process.
     """
-    net = ConfigurationNet(1)
+    net = ConfigurationNetwork(1)
     first = net.accept(make_configuration(0, customers=30, vms=600, domains=20))
     for k in range(64):
         net.start(f"n{k}", _SEEDS, domain=f"domain{k % 5}")
     peaks = []
-    while not net.has_everywhere(first):
+    while not net.is_active_everywhere(first):
         before = net.calls.total()
         net.run(1.0)
         peaks.append(net.calls.total() - before)
@@ -283,15 +291,15 @@
     assert max(peaks) <= 8 * 64
 
 
-def test_parts_that_are_nowhere_are_asked_for_less_and_less() -> None:
-    """A root names a part that was lost: the old configuration stays.
+def test_unavailable_parts_are_requested_less_and_less_often() -> None:
+    """A root names a part that neither the store nor any process has.
 
-    Every process lacks the part, and so do the peers and the store. What is
-    in force stays, and the calls fall to a few a minute for each process.
+    The old configuration stays active, and the calls fall to a few a minute
+    for each process.
     """
     net = _start_net(9)
     contents = split_parts(make_configuration(1))
-    names = {**name_parts(contents), PartName("customer/lost"): PartHash("lost")}
+    names = {**hash_parts(contents), PartName("customer/lost"): PartHash("lost")}
     root = Root("tag", "operator", names, Revision(1))
     found = net.store.get(ROOT_KEY)
     assert found is not None
@@ -300,75 +308,85 @@
     net.calls.clear()
     net.run(60.0)
     assert net.calls["ReadPart"] <= 10 * 6
-    assert all(f.revision == found.revision for f in net.followers.values())
+    assert all(
+        follower.revision == found.revision for follower in net.followers.values()
+    )
 
 
-def _hold(*changes: int) -> Holding:
-    holding = Holding()
+def _make_local(*changes: int) -> LocalConfiguration:
+    local = LocalConfiguration()
     for change in changes:
-        _offer(holding, change)
-    return holding
+        _activate(local, change)
+    return local
 
 
-def _offer(holding: Holding, change: int) -> None:
+def _activate(local: LocalConfiguration, change: int) -> None:
     contents = split_parts(make_configuration(change))
-    names = name_parts(contents)
-    holding.want(Manifest(Revision(change), names))
-    holding.add_parts(PartContent(names[n], c) for n, c in contents.items())
-    holding.settle()
+    names = hash_parts(contents)
+    local.set_pending(Manifest(Revision(change), names))
+    local.add_parts(
+        PartContent(names[name], content) for name, content in contents.items()
+    )
+    local.activate_pending()
 
 
 def test_an_older_configuration_never_replaces_a_newer_one() -> None:
-    holding = _hold(1, 3)
-    _offer(holding, 2)
-    assert holding.revision == 3
-    assert holding.wanted is None
+    local = _make_local(1, 3)
+    _activate(local, 2)
+    assert local.revision == 3
+    assert local.pending is None
 
 
-def test_a_change_comes_in_force_only_with_its_last_part() -> None:
-    holding = _hold(1)
+def test_a_change_is_activated_only_with_its_last_part() -> None:
+    local = _make_local(1)
     contents = split_parts(make_configuration(2))
-    holding.want(Manifest(Revision(2), name_parts(contents)))
-    missing = holding.list_missing()
+    local.set_pending(Manifest(Revision(2), hash_parts(contents)))
+    missing = local.list_missing_parts()
     assert 0 < len(missing) < len(contents)
-    assert holding.settle() is None
-    assert holding.revision == 1
+    assert local.activate_pending() is None
+    assert local.revision == 1
     bad = PartContent(missing[0], "not what its hash says")
-    holding.add_parts([bad])
-    assert holding.list_missing() == missing
-    holding.add_parts(PartContent(hash_content(c), c) for c in contents.values())
-    assert holding.settle() == make_configuration(2)
+    local.add_parts([bad])
+    assert local.list_missing_parts() == missing
+    local.add_parts(
+        PartContent(hash_content(content), content) for content in contents.values()
+    )
+    assert local.activate_pending() == make_configuration(2)
 
 
-def test_an_announced_difference_is_checked_against_the_whole() -> None:
-    """A difference that does not lead to the announced whole is not used."""
-    holding = _hold(1)
+def test_an_announced_difference_is_checked_against_the_digest() -> None:
+    """A difference that does not lead to the announced digest is not used."""
+    local = _make_local(1)
     changed = {PartName("customer/new"): PartHash("00")}
     wrong = Announcement(Revision(2), PartHash("other"), Revision(1), changed)
-    assert not holding.want_announced(wrong)
-    assert holding.wanted is None
+    assert not local.set_pending_from_announcement(wrong)
+    assert local.pending is None
 
 
-def test_what_this_version_cannot_read_leaves_the_old_in_force() -> None:
-    """A newer version's part comes: the old stays, and the dump names it."""
-    holding = _hold(1)
+def test_an_undecodable_configuration_leaves_the_old_one_active() -> None:
+    """A part of a newer version arrives, and its revision is reported."""
+    local = _make_local(1)
     contents = {PartName("fleet/rules"): '{"rules": 1}'}
-    names = name_parts(contents)
-    holding.want(Manifest(Revision(2), names))
-    holding.add_parts(PartContent(names[n], c) for n, c in contents.items())
-    assert holding.settle() is None
-    assert (holding.revision, holding.unreadable) == (1, 2)
-    _offer(holding, 3)
-    assert holding.revision == 3
-
-
-def test_peers_get_what_they_ask_for_as_far_as_it_is_held() -> None:
-    holding = _hold(1)
-    assert holding.in_force is not None
-    parts = tuple(holding.in_force.parts.values())
-    answer = holding.answer(ConfigurationRequest(Revision(1), (*parts, PartHash("x"))))
-    assert {part.hash for part in answer.parts} == set(parts)
-    assert answer.manifest == holding.in_force.parts
-    assert holding.answer(ConfigurationRequest(Revision(2))) == ConfigurationResponse(
-        Revision(1)
+    names = hash_parts(contents)
+    local.set_pending(Manifest(Revision(2), names))
+    local.add_parts(
+        PartContent(names[name], content) for name, content in contents.items()
+    )
+    assert local.activate_pending() is None
+    assert (local.revision, local.unreadable) == (1, 2)
+    _activate(local, 3)
+    assert local.revision == 3
+
+
+def test_peers_get_the_requested_parts_that_are_present() -> None:
+    local = _make_local(1)
+    assert local.active is not None
+    parts = tuple(local.active.parts.values())
+    answer = local.make_response(
+        ConfigurationRequest(Revision(1), (*parts, PartHash("x")))
     )
+    assert {part.hash for part in answer.parts} == set(parts)
+    assert answer.manifest == local.active.parts
+    assert local.make_response(
+        ConfigurationRequest(Revision(2))
+    ) == ConfigurationResponse(Revision(1))
