--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration over separate processes that fail."""
+"""Changes of the configuration across separate processes that fail."""
 
 from collections.abc import Iterator
 from concurrent.futures import ThreadPoolExecutor
@@ -26,20 +26,20 @@
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
     with start_fleet(tmp_path, entries=3, controls=2) as started:
-        wait_until(lambda: all(_revision(started, node) for node in _NODES))
+        wait_until(lambda: all(_read_active_revision(started, node) for node in _NODES))
         yield started
 
 
-def _dump(fleet: Fleet, node: str) -> Any:
+def _read_dump(fleet: Fleet, node: str) -> Any:
     return call(fleet.operators[node], "/dump").json()["state"]
 
 
-def _revision(fleet: Fleet, node: str) -> int:
-    return int(_dump(fleet, node)["configuration"]["revision"])
+def _read_active_revision(fleet: Fleet, node: str) -> int:
+    return int(_read_dump(fleet, node)["configuration"]["revision"])
 
 
-def _has_everywhere(fleet: Fleet, revision: int) -> bool:
-    return all(_revision(fleet, node) == revision for node in _NODES)
+def _is_active_everywhere(fleet: Fleet, revision: int) -> bool:
+    return all(_read_active_revision(fleet, node) == revision for node in _NODES)
 
 
 def _write_files(fleet: Fleet, name: str, slots: int) -> tuple[str, str]:
@@ -71,8 +71,8 @@
 def test_of_racing_operators_one_is_accepted_and_the_rest_see_why(
     fleet: Fleet,
 ) -> None:
-    """Five operators change the same base; one root can take its place."""
-    base = _revision(fleet, "entry0")
+    """Five operators change the same base; only one root can replace it."""
+    base = _read_active_revision(fleet, "entry0")
     files = [_write_files(fleet, f"racing{k}", 16 + k) for k in range(5)]
     options = ("--store", fleet.store, "--base", str(base))
     with ThreadPoolExecutor(5) as pool:
@@ -84,40 +84,41 @@
         assert "accepted first; since your base it changed" in each.stderr
         assert "slots_per_group: 8 ->" in each.stderr
     revision = _read_revision(accepted[0].stdout)
-    wait_until(lambda: _has_everywhere(fleet, revision))
+    wait_until(lambda: _is_active_everywhere(fleet, revision))
 
 
-def test_a_frozen_process_is_named_and_catches_up_when_it_wakes(
+def test_a_frozen_process_is_named_and_catches_up_when_it_resumes(
     fleet: Fleet,
 ) -> None:
-    """It is frozen over three changes; the operator is told who lags.
+    """A process is frozen during three changes; the operator sees its name.
 
-    Awake again, it goes from the first to the last change and never back.
-    Where the changes take longer than the others wait for a sign of it, it is
-    named as silent in place of lagging; it never counts among those reached.
+    When it resumes, it goes from the first to the last change and never back.
+    If the changes take longer than the others wait for it, it is reported as
+    silent instead of lagging. It never counts as a process that has the
+    change.
     """
     fleet.freeze("entry1")
     _apply(fleet, 9)
     _apply(fleet, 10)
     files = _write_files(fleet, "last", 11)
     options = ("--store", fleet.store, *_wait_options(fleet, 0.5))
-    told = fleet.run_tool("apply", *files, *options)
-    if told.returncode == 3:
-        assert "entry1" in told.stderr
+    result = fleet.run_tool("apply", *files, *options)
+    if result.returncode == 3:
+        assert "entry1" in result.stderr
     else:
-        assert told.returncode == 0
-        assert "silent: entry1" in told.stderr
-        assert "in force at 4 nodes" in told.stdout
-    last = _read_revision(told.stdout)
+        assert result.returncode == 0
+        assert "silent: entry1" in result.stderr
+        assert "in force at 4 nodes" in result.stdout
+    last = _read_revision(result.stdout)
     fleet.thaw("entry1")
-    wait_until(lambda: _has_everywhere(fleet, last))
-    _check_never_back(fleet, "entry1")
+    wait_until(lambda: _is_active_everywhere(fleet, last))
+    _check_never_reverted(fleet, "entry1")
     found = fleet.run_tool("apply", *files, *options[:3], "20", *options[4:])
     assert "in force at 5 nodes" in found.stdout, found.stdout + found.stderr
 
 
-def _check_never_back(fleet: Fleet, node: str) -> None:
-    decided = _dump(fleet, node)["decisions"]
+def _check_never_reverted(fleet: Fleet, node: str) -> None:
+    decided = _read_dump(fleet, node)["decisions"]
     subjects = [
         decision["subjects"][0].partition(":")[2]
         for decision in decided
@@ -132,8 +133,8 @@
 ) -> None:
     """Each entry process is replaced while changes are accepted.
 
-    After each, the fleet has the newest, the new process too, and none has
-    gone back.
+    After each replacement all processes, including the new one, have the
+    newest change, and none has reverted one.
     """
     for k, node in enumerate(("entry0", "entry1", "entry2")):
         fleet.ask_to_stop(node)
@@ -141,30 +142,30 @@
         wait_until(partial(fleet.has_ended, node), 60.0)
         fleet.restart(node)
         revision = _apply(fleet, 30 + k)
-        wait_until(partial(_has_everywhere, fleet, revision))
+        wait_until(partial(_is_active_everywhere, fleet, revision))
     for node in _NODES:
-        _check_never_back(fleet, node)
+        _check_never_reverted(fleet, node)
 
 
-def test_a_process_that_starts_in_an_outage_has_the_newest_from_its_peers(
+def test_a_process_that_starts_in_an_outage_gets_the_newest_from_its_peers(
     fleet: Fleet,
 ) -> None:
-    """The store is out; a killed process comes back with nothing.
+    """The store is down, and a killed process restarts without its state.
 
-    Its peers hold the last change, and it takes that; it answers callers
-    again although the store never answered it.
+    It gets the last change from its peers and responds to callers again,
+    although it never had a response from the store.
     """
     revision = _apply(fleet, 12, *_wait_options(fleet, 20.0))
     switch_faults(fleet, "platform", out=True)
     fleet.kill("entry2")
     fleet.restart("entry2")
-    wait_until(lambda: _revision(fleet, "entry2") == revision)
+    wait_until(lambda: _read_active_revision(fleet, "entry2") == revision)
     answered = call(fleet.addresses["entry2"], "/v1/entries")
     assert answered.status == 200
 
 
-def test_history_shows_changes_and_the_way_back_is_a_new_one(fleet: Fleet) -> None:
-    first = _revision(fleet, "entry0")
+def test_history_shows_changes_and_a_rollback_is_a_new_one(fleet: Fleet) -> None:
+    first = _read_active_revision(fleet, "entry0")
     second = _apply(fleet, 13)
     store = ("--store", fleet.store)
     back = fleet.run_tool("rollback", str(first), *store, *_wait_options(fleet, 20.0))
@@ -182,6 +183,6 @@
     assert shown == [f"base revision={third}"]
     again = fleet.run_tool("apply", *files, *store)
     assert again.stdout.strip() == f"unchanged revision={third}"
-    gone = fleet.run_tool("rollback", "999999", *store)
-    assert gone.returncode == 2
-    assert "is not kept" in gone.stderr
+    unknown = fleet.run_tool("rollback", "999999", *store)
+    assert unknown.returncode == 2
+    assert "is not kept" in unknown.stderr
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Gossip over a faulty network: who is there, and what everybody knows."""
+"""Gossip over a faulty network: the members and the spread of notices."""
 
 from collections.abc import Sequence
 from functools import partial
@@ -7,10 +7,10 @@
 from hypothesis import HealthCheck, given, settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from tests.gossip_net import GossipNet, describe_states
+from tests.gossip_net import GossipNetwork, describe_states
 from zinniaspool.core.ids import NodeId
-from zinniaspool.core.membership import Ask, MemberState, Topic
-from zinniaspool.core.membership.members import Standing
+from zinniaspool.core.membership import MemberState, SendRequest, Topic
+from zinniaspool.core.membership.members import Liveness
 from zinniaspool.core.messages.membership import (
     CompareRequest,
     CompareResponse,
@@ -20,19 +20,19 @@
 
 _NODES = [f"n{k}" for k in range(6)]
 _SEEDS = _NODES[:2]
-_KNOWN_S = 30.0
+_DISCOVERY_TIMEOUT_S = 30.0
 
 
-def _start_net(nodes: int = 6, seed: int = 1) -> GossipNet:
-    net = GossipNet(seed)
+def _start_net(nodes: int = 6, seed: int = 1) -> GossipNetwork:
+    net = GossipNetwork(seed)
     for k in range(nodes):
         net.start(f"n{k}", _SEEDS)
     names = [f"n{k}" for k in range(nodes)]
-    net.run_until(lambda: _all_hold(net, names, MemberState.READY), _KNOWN_S)
+    net.run_until(lambda: _all_see(net, names, MemberState.READY), _DISCOVERY_TIMEOUT_S)
     return net
 
 
-def _all_hold(net: GossipNet, names: Sequence[str], state: MemberState) -> bool:
+def _all_see(net: GossipNetwork, names: Sequence[str], state: MemberState) -> bool:
     return all(
         describe_states(machine).get(name) is state
         for machine in net.machines.values()
@@ -41,7 +41,7 @@
 
 
 def _find_payloads(
-    net: GossipNet, key: str, topic: Topic = Topic.LIMITS
+    net: GossipNetwork, key: str, topic: Topic = Topic.LIMITS
 ) -> list[bytes | None]:
     return [
         next(
@@ -56,21 +56,24 @@
     ]
 
 
-def _find_accused(net: GossipNet) -> set[str]:
+def _find_suspected(net: GossipNetwork) -> set[str]:
     return {
         str(member.node)
         for machine in net.machines.values()
-        for member in machine.members()
-        if machine.roster.find_standing(member.node) is not Standing.ANSWERS
+        for member in machine.list_members()
+        if machine.roster.find_liveness(member.node) is not Liveness.RESPONSIVE
     }
 
 
-def _is_spread(net: GossipNet) -> bool:
+def _is_spread(net: GossipNetwork) -> bool:
     return set(_find_payloads(net, "key", Topic.LEAVING)) == {b"x" * 100}
 
 
 class GossipRules(RuleBasedStateMachine):
-    """Restarts, cuts, freezes, losses; then all know all, and the newest."""
+    """Restarts, partitions, freezes and losses in any order.
+
+    Afterwards every process knows all members and the newest notice.
+    """
 
     @initialize(seed=st.integers(0, 10_000))
     def start(self, seed: int) -> None:
@@ -91,7 +94,7 @@
 
     @rule(names=st.sets(st.sampled_from(_NODES), min_size=1, max_size=5))
     def cut_one_way(self, names: set[str]) -> None:
-        self.net.reaches = lambda a, b: not (a in names and b not in names)
+        self.net.can_reach = lambda a, b: not (a in names and b not in names)
 
     @rule(name=st.sampled_from(_NODES))
     def freeze(self, name: str) -> None:
@@ -99,7 +102,7 @@
 
     @rule(loss=st.sampled_from([0.0, 0.3]))
     def lose(self, loss: float) -> None:
-        self.net.loss = loss
+        self.net.loss_probability = loss
 
     @rule(seconds=st.sampled_from([0.5, 4.0, 15.0]))
     def wait(self, seconds: float) -> None:
@@ -109,13 +112,13 @@
         if not hasattr(self, "net"):
             return
         net = self.net
-        net.reaches = lambda _, __: True
+        net.can_reach = lambda _, __: True
         net.frozen.clear()
-        net.loss = 0.0
+        net.loss_probability = 0.0
         net.run(2.0)
-        net.run_until(lambda: _all_hold(net, _NODES, MemberState.READY), 60.0)
-        # What a process published just before it died may be lost with it;
-        # what any live process knows must not be.
+        net.run_until(lambda: _all_see(net, _NODES, MemberState.READY), 60.0)
+        # A notice that a process published just before it ended may be lost
+        # with it. A notice that any running process knows must not be lost.
         known = [payload for payload in _find_payloads(net, "key") if payload]
         if known:
             newest = max(known, key=int)
@@ -132,36 +135,38 @@
 TestGossip = GossipRules.TestCase
 
 
-def test_a_killed_member_is_held_silent_by_all() -> None:
+def test_a_killed_member_becomes_unresponsive_for_all() -> None:
     net = _start_net()
     net.stop("n3")
-    net.run_until(lambda: _all_hold(net, ["n3"], MemberState.SILENT), 20.0)
+    net.run_until(lambda: _all_see(net, ["n3"], MemberState.UNRESPONSIVE), 20.0)
 
 
 def test_a_leaving_member_is_known_to_leave_within_seconds() -> None:
     net = _start_net(24)
     net.machines[NodeId("n5")].set_state(MemberState.LEAVING, net.now)
-    net.run_until(lambda: _all_hold(net, ["n5"], MemberState.LEAVING), 5.0)
+    net.run_until(lambda: _all_see(net, ["n5"], MemberState.LEAVING), 5.0)
 
 
-def test_one_cut_link_does_not_make_a_member_silent() -> None:
-    """Two members cannot reach each other, all others can reach both.
+def test_one_cut_link_does_not_make_a_member_unresponsive() -> None:
+    """Two members can't reach each other, but all others can reach both.
 
-    A question between the two fails; helpers find the member alive, so that
-    nobody is accused and callers keep both addresses.
+    A request between the two fails. Helpers get a response from the member,
+    so that neither is suspected and callers keep both addresses.
     """
     net = _start_net()
-    net.reaches = lambda a, b: {a, b} != {"n1", "n2"}
+    net.can_reach = lambda a, b: {a, b} != {"n1", "n2"}
     for _ in range(300):
         net.run(0.1)
-        assert _find_accused(net) == set()
+        assert _find_suspected(net) == set()
 
 
-def test_a_frozen_process_accuses_nobody_when_it_wakes() -> None:
-    """It was frozen for 20 s; its open question has timed out meanwhile.
+def test_a_frozen_process_suspects_no_member_when_it_resumes() -> None:
+    """Guards against a resumed process that suspects healthy members.
 
-    The others hold it silent. Awake again, it must not take its own
-    standstill for theirs, and must be held ready again soon.
+    The process was frozen for 20 s. Its open request has timed out in the
+    meantime, and the others consider it unresponsive. When it resumes, it
+    must not take its own freeze for a failure of the others, and it must be
+    ready again for all of them soon.
     """
     net = _start_net()
     for _ in range(3):
@@ -171,97 +176,102 @@
         others = [name for name in _NODES if name != "n4"]
         for _ in range(20):
             net.run(0.1)
-            assert not _find_accused(net) & set(others)
-        net.run_until(lambda: _all_hold(net, _NODES, MemberState.READY), 20.0)
+            assert not _find_suspected(net) & set(others)
+        net.run_until(lambda: _all_see(net, _NODES, MemberState.READY), 20.0)
 
 
-def test_an_answer_that_timed_out_in_a_freeze_is_no_evidence() -> None:
-    """Its timer is over at the wake-up although the answer lies unread."""
+def test_a_request_that_timed_out_in_a_freeze_raises_no_suspicion() -> None:
+    """On resumption the timer has expired although the response is unread."""
     net = _start_net()
     machine = net.machines[NodeId("n4")]
-    asks: list[Ask] = []
-    while not asks:
+    requests: list[SendRequest] = []
+    while not requests:
         net.now += 0.1
-        asks = [a for a in machine.step(net.now) if isinstance(a, Ask) and a.node]
-    assert machine.take_answer(asks[0], None, net.now + 1.0)
-    assert asks[0].node is not None
-    machine.roster.hear(asks[0].node, net.now)
-    assert machine.take_answer(asks[0], None, net.now + 20.0) == []
+        requests = [
+            action
+            for action in machine.step(net.now)
+            if isinstance(action, SendRequest) and action.node
+        ]
+    assert machine.handle_response(requests[0], None, net.now + 1.0)
+    assert requests[0].node is not None
+    machine.roster.record_contact(requests[0].node, net.now)
+    assert machine.handle_response(requests[0], None, net.now + 20.0) == []
     machine.step(net.now + 20.1)
-    assert machine.take_answer(asks[0], None, net.now + 20.2) == []
+    assert machine.handle_response(requests[0], None, net.now + 20.2) == []
 
 
 def test_a_healed_partition_is_noticed_without_seeds() -> None:
-    """Both halves held each other silent for minutes and then meet again."""
+    """Both halves considered each other unresponsive for minutes."""
     net = _start_net()
     for machine in net.machines.values():
         machine._seeds = []
-    half = set(_NODES[:3])
-    net.reaches = lambda a, b: (a in half) == (b in half)
+    one_half = set(_NODES[:3])
+    net.can_reach = lambda a, b: (a in one_half) == (b in one_half)
     net.run(300.0)
-    assert describe_states(net.machines[NodeId("n0")])["n5"] is MemberState.SILENT
-    net.reaches = lambda _, __: True
-    net.run_until(lambda: _all_hold(net, _NODES, MemberState.READY), 60.0)
+    assert describe_states(net.machines[NodeId("n0")])["n5"] is MemberState.UNRESPONSIVE
+    net.can_reach = lambda _, __: True
+    net.run_until(lambda: _all_see(net, _NODES, MemberState.READY), 60.0)
 
 
-def test_a_restarted_member_overrules_what_is_held_of_its_last_start() -> None:
+def test_a_restarted_member_overrules_reports_about_its_previous_start() -> None:
     net = _start_net()
     net.stop("n3")
-    net.run_until(lambda: _all_hold(net, ["n3"], MemberState.SILENT), 20.0)
+    net.run_until(lambda: _all_see(net, ["n3"], MemberState.UNRESPONSIVE), 20.0)
     net.start("n3", _SEEDS)
-    net.run_until(lambda: _all_hold(net, _NODES, MemberState.READY), 20.0)
+    net.run_until(lambda: _all_see(net, _NODES, MemberState.READY), 20.0)
 
 
-def test_an_address_taken_over_by_another_vm_is_not_its_last_owner() -> None:
-    """A VM is replaced and its successor listens at the same address.
+def test_a_reused_address_does_not_keep_its_previous_owner_responsive() -> None:
+    """A VM is replaced, and its successor listens at the same address.
 
-    Messages for the old name reach a process of another name; that must not
-    keep the old one alive in the others' eyes.
+    Messages for the old name reach a process with another name. This must not
+    make the old member seem responsive.
     """
     net = _start_net()
     net.stop("n3")
     net.start("n9", _SEEDS, address="n3")
-    net.run_until(lambda: _all_hold(net, ["n9"], MemberState.READY), 20.0)
-    net.run_until(lambda: _all_hold(net, ["n3"], MemberState.SILENT), 30.0)
+    net.run_until(lambda: _all_see(net, ["n9"], MemberState.READY), 20.0)
+    net.run_until(lambda: _all_see(net, ["n3"], MemberState.UNRESPONSIVE), 30.0)
 
 
-def test_an_older_start_of_the_same_name_gives_way() -> None:
-    """A frozen process wakes after another was started under its name."""
+def test_an_older_process_of_the_same_name_is_superseded() -> None:
+    """A frozen process resumes after another was started with its name."""
     net = _start_net()
     old = net.machines[NodeId("n3")]
     net.frozen.add(NodeId("n3"))
     net.run(10.0)
     net.frozen.clear()
     new = net.start("n3", _SEEDS, address="n3-new")
-    net.run_until(lambda: _all_hold(net, _NODES, MemberState.READY), 20.0)
-    record = next(m for m in new.members() if m.node == "n3")
-    sight = next(n for n in new.list_notices(Topic.MEMBERS, net.now) if n.key == "n3")
-    notice = WireNotice(
-        Topic.MEMBERS.value, "n3", sight.version, sight.payload, 0.0, 1e9
+    net.run_until(lambda: _all_see(net, _NODES, MemberState.READY), 20.0)
+    record = next(m for m in new.list_members() if m.node == "n3")
+    notice = next(n for n in new.list_notices(Topic.MEMBERS, net.now) if n.key == "n3")
+    wire_notice = WireNotice(
+        Topic.MEMBERS.value, "n3", notice.version, notice.payload, 0.0, 1e9
     )
-    old.receive(NodeId("n1"), Push((notice,)), net.now)
+    old.receive(NodeId("n1"), Push((wire_notice,)), net.now)
     assert old.roster.superseded_by == record.incarnation
     assert new.roster.superseded_by is None
 
 
-def test_a_member_learns_at_once_what_is_held_against_it() -> None:
-    """The answer to its first question tells it, so that it can contradict."""
+def test_a_member_learns_at_once_that_it_is_reported_unresponsive() -> None:
+    """The response to its first request reports it, so that it can refute."""
     net = _start_net()
-    accuser = net.machines[NodeId("n0")]
-    accuser.roster.accuse(NodeId("n3"), Standing.SILENT, net.now)
-    accuser.roster.notices._hot.clear()  # Told to some others long ago.
-    answer = accuser.receive(NodeId("n3"), CompareRequest((), ()), net.now)
-    assert isinstance(answer, CompareResponse)
-    accused = net.machines[NodeId("n3")]
-    accused.roster.take(answer.notices, net.now)
-    own = accused.roster.notices.find(Topic.MEMBERS, "n3", net.now)
-    assert own is not None
-    accuser.receive(NodeId("n3"), Push((own,)), net.now)
-    assert describe_states(accuser)["n3"] is MemberState.READY
+    reporter = net.machines[NodeId("n0")]
+    reporter.roster.lower_liveness(NodeId("n3"), Liveness.UNRESPONSIVE, net.now)
+    # Other peers have received the report long ago.
+    reporter.roster.notices._spreading.clear()
+    response = reporter.receive(NodeId("n3"), CompareRequest((), ()), net.now)
+    assert isinstance(response, CompareResponse)
+    reported = net.machines[NodeId("n3")]
+    reported.roster.apply_notices(response.notices, net.now)
+    own_notice = reported.roster.notices.find(Topic.MEMBERS, "n3", net.now)
+    assert own_notice is not None
+    reporter.receive(NodeId("n3"), Push((own_notice,)), net.now)
+    assert describe_states(reporter)["n3"] is MemberState.READY
 
 
 @pytest.mark.parametrize("late", [1, 4])
-def test_a_notice_past_its_lifetime_is_forgotten_and_not_taken_again(late: int) -> None:
+def test_an_expired_notice_is_removed_and_not_accepted_again(late: int) -> None:
     net = _start_net()
     machine = net.machines[NodeId("n0")]
     machine.publish(Topic.LIMITS, "key", 1, b"old", 3.0, net.now)
@@ -272,16 +282,16 @@
 
 
 def test_digests_of_limits_leave_room_for_a_change() -> None:
-    """With little room left, what is urgent goes and digests wait."""
-    machine = GossipNet().start("n0")
+    """With little budget left, urgent notices are sent and digests wait."""
+    machine = GossipNetwork().start("n0")
     table = machine.roster.notices
-    table.take_pushes(10_000, 0.0)
+    table.dequeue_pushes(10_000, 0.0)
     machine.publish(Topic.LIMITS, "key", 1, b"x" * 50, 60.0, 0.0)
-    assert table.take_pushes(300, 0.0) == []
+    assert table.dequeue_pushes(300, 0.0) == []
     machine.publish(Topic.CONFIGURATION, "root", 1, b"x" * 150, 60.0, 0.0)
-    (pushed,) = table.take_pushes(300, 0.0)
+    (pushed,) = table.dequeue_pushes(300, 0.0)
     assert pushed.topic == Topic.CONFIGURATION.value
-    (later,) = table.take_pushes(600, 0.0)
+    (later,) = table.dequeue_pushes(600, 0.0)
     assert later.topic == Topic.LIMITS.value
 
 
@@ -290,11 +300,11 @@
     topic=st.integers(0, 9),
     age_s=st.floats(),
 )
-def test_only_the_newest_counts_whatever_arrives(
+def test_only_the_newest_version_counts_whatever_arrives(
     versions: list[int], topic: int, age_s: float
 ) -> None:
-    """Old versions, unknown topics and absurd ages harm nothing."""
-    net = GossipNet()
+    """Old versions, unknown topics and impossible ages do no harm."""
+    net = GossipNetwork()
     machine = net.start("n0")
     for version in versions:
         payload = str(version).encode()
@@ -308,8 +318,8 @@
 
 
 @pytest.mark.bounds
-def test_cost_a_node_stays_constant_and_rounds_grow_like_the_logarithm() -> None:
-    """Messages and bytes a node at 100 members are those at 25, nearly."""
+def test_cost_per_node_is_constant_and_spread_time_grows_like_the_logarithm() -> None:
+    """Messages and bytes per node hardly differ between 25 and 100 members."""
     costs, spreads = [], []
     for nodes in (25, 100):
         net = _start_net(nodes)
@@ -321,26 +331,26 @@
         machine = net.machines[NodeId("n1")]
         machine.publish(Topic.LEAVING, "key", 1, b"x" * 100, 1e6, net.now)
         spreads.append(net.run_until(partial(_is_spread, net), 9.0))
-    (few_bytes, few_messages), (many_bytes, many_messages) = costs
-    assert many_bytes <= 1.2 * few_bytes
-    assert many_messages <= 1.1 * few_messages
+    (small_bytes, small_messages), (large_bytes, large_messages) = costs
+    assert large_bytes <= 1.2 * small_bytes
+    assert large_messages <= 1.1 * small_messages
     assert spreads[1] <= 4.0 * max(spreads[0], 0.5)
 
 
 @pytest.mark.parametrize("seed", [1, 5, 7])
-def test_a_plan_passes_a_stream_of_smaller_notices(seed: int) -> None:
-    """Callers find no upstream where a group has just been formed.
+def test_a_plan_is_sent_beside_a_stream_of_smaller_notices(seed: int) -> None:
+    """Guards against callers that find no upstream after a group was formed.
 
-    Beats use up the bytes that may be sent, again and again. A plan is larger
-    than what they leave at any time, so it would wait behind all of them.
+    Heartbeats use up the byte budget again and again. A plan is larger than
+    what they leave at any time, so it would wait behind all of them.
     """
-    net = GossipNet(seed)
+    net = GossipNetwork(seed)
     for k in range(16):
         net.start(f"n{k}", _SEEDS)
-    net.run(_KNOWN_S)
+    net.run(_DISCOVERY_TIMEOUT_S)
     first = net.machines[NodeId("n0")]
 
-    def publish_beats(version: int) -> None:
+    def publish_heartbeats(version: int) -> None:
         for k in range(6):
             net.machines[NodeId(f"n{k}")].publish(
                 Topic.GROUPS, f"beat/{k}", version, b"x" * 150, 4.0, net.now
@@ -348,8 +358,8 @@
         net.run(0.5)
 
     for version in range(1, 11):
-        publish_beats(version)
+        publish_heartbeats(version)
     first.publish(Topic.PLANS, "plan", 1, b"p" * 700, 3600.0, net.now)
     for version in range(11, 71):
-        publish_beats(version)
+        publish_heartbeats(version)
     assert _find_payloads(net, "plan", Topic.PLANS) == [b"p" * 700] * 16
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -188,7 +188,7 @@
         asking = asyncio.create_task(trial.ask(frozen, slot_key))
         await store.holding.wait()
         held, store.held = store.held, None
-        frozen.state = MemberState.SILENT
+        frozen.state = MemberState.UNRESPONSIVE
         assert await trial.ask(other, slot_key) == _Asked(_ANSWER)
         runs = trial.runs
         frozen.state = MemberState.READY
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -1,4 +1,4 @@
-"""Validation of inventory and rules: each problem, its place, its cure."""
+"""Validation of inventory and rules: problems, their paths and remedies."""
 
 from dataclasses import replace
 from typing import Any
@@ -61,11 +61,11 @@
         (_SERVICE,),
         RepairWeights(1.0, 0.0),
     )
-    chosen = vms or (_vm(1), _vm(2), _vm(3, "f1"), _vm(4, "f1", _RIVAL))
-    return Configuration(Inventory(tuple(chosen)), replace(rules, **changes))
+    inventory_vms = vms or (_vm(1), _vm(2), _vm(3, "f1"), _vm(4, "f1", _RIVAL))
+    return Configuration(Inventory(tuple(inventory_vms)), replace(rules, **changes))
 
 
-def test_a_sound_configuration_has_no_problems() -> None:
+def test_a_valid_configuration_has_no_problems() -> None:
     assert validate_configuration(_configure()) == []
 
 
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("configuration", "path", "says"),
+    ("configuration", "path", "accepted"),
     [
         (_configure([_vm(1), _vm(1), _vm(2)]), ("vms", 1, "id"), "own"),
         (_configure([replace(_vm(1), accelerators=0)]), ("vms", 0, "accelerators"), ""),
@@ -152,16 +152,19 @@
         (_configure(repair=RepairWeights(-1, 1)), ("repair", "group_downtime"), "0"),
     ],
 )
-def test_a_problem_is_named_with_its_place_and_its_cure(
-    configuration: Configuration, path: tuple[str | int, ...], says: str
+def test_a_problem_names_its_path_and_an_accepted_value(
+    configuration: Configuration, path: tuple[str | int, ...], accepted: str
 ) -> None:
     found = {p.path: p.accepted for p in validate_configuration(configuration)}
     assert path in found, found
-    assert says in found[path]
+    assert accepted in found[path]
 
 
-def test_guarantees_that_fit_only_beside_each_other_are_placed() -> None:
-    """The narrow model takes its own VMs first, the wide one what is left."""
+def test_guarantees_that_fit_only_in_one_arrangement_are_placed() -> None:
+    """The model that may use fewer owners' VMs is placed first.
+
+    The other model gets the remaining VMs.
+    """
     customers = (
         CustomerRule(_CARE, (_CARE, _RIVAL)),
         CustomerRule(_RIVAL, (_RIVAL,)),
