--- a/src/zinniaspool/gateway/calls.py
+++ b/src/zinniaspool/gateway/calls.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way, and what all its attempts share."""
+"""The state of a caller's request that all its attempts share."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -14,12 +14,15 @@
 from zinniaspool.core.ids import ContentId, FabricDomainId, ServiceName
 from zinniaspool.http import ClientResponse, Exchange
 
-__all__ = ["GatewayCall", "HeldAnswer"]
+__all__ = ["GatewayCall", "FailedAnswer"]
 
 
 @dataclass(frozen=True, slots=True)
-class HeldAnswer:
-    """An upstream's failure that is passed on if nothing better comes."""
+class FailedAnswer:
+    """A failed answer of an upstream, kept to be passed on.
+
+    The caller gets it if no other upstream answers the request.
+    """
 
     response: ClientResponse
     body: bytes
@@ -27,38 +30,48 @@
 
 @dataclass(eq=False, slots=True)
 class GatewayCall:
-    """One request.
+    """A caller's request in progress.
+
+    Times are in seconds on the event loop's clock.
 
     Attributes:
-        exchange: The caller's side.
-        terms: What the caller says.
-        route: What binds it.
-        service: Which of the route's services got it.
-        customer: Whose it is, if anybody's.
-        received: When it was here whole, in seconds.
-        deadline: When it must have its answer.
-        attempts: Judges whether it may be sent again.
-        content: What it asks; the same when it comes again with another id.
-        cursor: Where its stream stands.
-        progress: What of an answer the caller has.
-        tried: Instances that had it.
-        doubted: Fabric domains where one of those stood still.
-        state: Where it is now.
-        patience: Ends the attempt under way.
-        moved: Whether that was ended so that its target is left.
-        overdue: Whether it was so because its first event did not come, while
-            the target may have gone on with others.
-        seen_event: Whether the attempt under way has had an event.
-        unheard_outside: Whether it is at a target that this process does not
-            share, and nothing has come back.
-        held: An upstream's failure to pass on if nothing better comes.
-        first_s: Seconds until the first byte went to the caller.
-        last_event_at: When the newest event went to the caller, in seconds.
-        longest_pause_s: Longest pause between two events.
-        late: Whether it was taken though it will be late.
-        urgency: What upstreams are told of it, 0 first; None for nothing.
-        sent_at: When the attempt under way left, in seconds.
-        predicted_s: How long its first event was predicted to take then.
+        exchange: The caller's HTTP exchange.
+        terms: What the caller states about its request.
+        route: The route that the request matches.
+        service: The service of the route that was drawn for the request.
+        customer: Customer that sent it; None for an anonymous caller.
+        received_at: Time at which it had arrived completely.
+        deadline: Time until which the caller must have its answer.
+        attempts: Decides whether it may be sent again.
+        content: Content id, which stays the same if the caller sends the
+            request again with another request id.
+        cursor: Position in its event stream.
+        progress: How much of the answer the caller has received.
+        tried: Instances that it was sent to.
+        suspected_domains: Fabric domains in which a target stalled while it
+            had the request.
+        target_state: State of the target of its latest attempt.
+        attempt_timeout: Timeout of the current attempt; None if the attempt
+            has ended or was interrupted.
+        rerouted: Whether the current attempt was interrupted so that the
+            request leaves its target.
+        first_event_overdue: Whether this was done because the first event was
+            overdue. The target may still serve other requests.
+        has_event: Whether the current attempt has had an event.
+        unanswered_out_of_subset: Whether the current attempt is at a target
+            out of this process's subset and nothing has come back.
+        failed_answer: An upstream's failure that the caller gets if no other
+            upstream answers.
+        first_byte_s: Time from its arrival to the first byte that went to the
+            caller, in seconds.
+        last_event_at: Time at which the newest event went to the caller.
+        longest_pause_s: Longest pause between two events, in seconds.
+        late: Whether it was admitted although its answer will be late.
+        urgency: Urgency that is sent to upstreams, 0 is the most urgent; None
+            to send none.
+        sent_at: Time at which the current attempt was sent.
+        predicted_first_event_s: Predicted time from then to the attempt's
+            first event, in seconds.
     """
 
     exchange: Exchange
@@ -66,25 +79,25 @@
     route: RouteSpec
     service: ServiceName
     customer: CustomerSpec | None
-    received: float
+    received_at: float
     deadline: float
     attempts: Attempts
     content: ContentId
     cursor: EventCursor = field(default_factory=EventCursor)
     progress: Progress = Progress.NOTHING
     tried: list[InstanceId] = field(default_factory=list)
-    doubted: set[FabricDomainId | None] = field(default_factory=set)
-    state: TargetState | None = None
-    patience: asyncio.Timeout | None = None
-    moved: bool = False
-    overdue: bool = False
-    seen_event: bool = False
-    unheard_outside: bool = False
-    held: HeldAnswer | None = None
-    first_s: float | None = None
+    suspected_domains: set[FabricDomainId | None] = field(default_factory=set)
+    target_state: TargetState | None = None
+    attempt_timeout: asyncio.Timeout | None = None
+    rerouted: bool = False
+    first_event_overdue: bool = False
+    has_event: bool = False
+    unanswered_out_of_subset: bool = False
+    failed_answer: FailedAnswer | None = None
+    first_byte_s: float | None = None
     last_event_at: float = 0.0
     longest_pause_s: float = 0.0
     late: bool = False
     urgency: int | None = None
     sent_at: float = 0.0
-    predicted_s: float = 0.0
+    predicted_first_event_s: float = 0.0
--- a/src/zinniaspool/gateway/carrier.py
+++ b/src/zinniaspool/gateway/carrier.py
@@ -1,4 +1,8 @@
-"""Carries a request to a target and its answer back."""
+"""Sends a request to targets and passes the answer back to the caller.
+
+A failed attempt is repeated at another target if the route, the deadline and
+the retry budget allow it.
+"""
 
 import asyncio
 from http import HTTPStatus
@@ -15,12 +19,12 @@
 )
 from zinniaspool.core.errors import ErrorKind, Fault
 from zinniaspool.core.fleet import RequestKind
-from zinniaspool.gateway.calls import GatewayCall, HeldAnswer
-from zinniaspool.gateway.crashes import CrashWatch
-from zinniaspool.gateway.gate import Gate
+from zinniaspool.gateway.calls import FailedAnswer, GatewayCall
+from zinniaspool.gateway.crashes import CrashDetector
+from zinniaspool.gateway.gate import AdmissionQueues
 from zinniaspool.gateway.limits import AnnouncedLimits
-from zinniaspool.gateway.moves import Moves
-from zinniaspool.gateway.spelling import CallSpelling
+from zinniaspool.gateway.moves import Rerouter
+from zinniaspool.gateway.spelling import CallCodec
 from zinniaspool.gateway.targets import TargetIndex
 from zinniaspool.http import (
     ClientResponse,
@@ -31,28 +35,29 @@
 )
 from zinniaspool.http.sides import CALLER_SIDE, CallerGoneError
 
-__all__ = ["Carrier"]
+__all__ = ["RequestForwarder"]
 
 _log = structlog.get_logger(__name__)
 
 EVENT_STREAM = "text/event-stream"
-SERVER_ERRORS = 500
-"""HTTP statuses from here on are the upstream's failures."""
+MIN_SERVER_ERROR_STATUS = 500
+"""Smallest HTTP status that counts as a failure of the upstream."""
 
-UNREPEATABLE_IDLE_S = 1.0
-"""Longest time that a kept connection may have been idle, in seconds, for a
-request that may run once only: if the other side closes it just then, nobody
-can tell whether it ran."""
+UNREPEATABLE_MAX_IDLE_S = 1.0
+"""Longest time that a kept connection may have been idle, in seconds, to be
+used for a request that must not run twice. If the upstream closes an idle
+connection at the moment of the request, it is unknown whether the request
+ran."""
 
-PLAIN_WAIT_S = 0.7
-"""Longest wait for the answer of a plain idempotent request before another
-upstream is asked, in seconds: several times what such a call takes, and time
-is left for the second one."""
+MIN_PLAIN_ATTEMPT_S = 0.7
+"""Shortest time that an attempt of a plain idempotent request gets before the
+request is sent to another upstream, in seconds. It is several times what such
+a call takes, and leaves time for the second attempt."""
 
-MOST_EXTRA_ANSWERS = 3
-"""Foreign answers that are thrown away before a connection is given up."""
+MAX_FOREIGN_ANSWERS = 3
+"""Answers to other requests that are skipped before a connection is closed."""
 
-_FAILURES = {
+_ATTEMPT_FAILURES = {
     TransportFailure.NOT_SENT: AttemptFailure.NOT_SENT,
     TransportFailure.TIMED_OUT: AttemptFailure.TIMED_OUT,
     TransportFailure.CUT: AttemptFailure.LOST,
@@ -60,67 +65,71 @@
 }
 
 
-class Carrier:
-    """Sends requests to targets until one answers or none may.
+class RequestForwarder:
+    """Sends each request to targets until one answers or none is left.
 
     Args:
         http: Connections to upstreams.
-        spelling: Reads and writes their headers.
+        codec: Parses and makes the headers of requests and answers.
         index: The targets.
-        gate: Decides when a request for a model may begin.
-        moves: Ends attempts that are to go on elsewhere.
-        crashes: Knows which requests crash upstreams.
-        limits: What upstreams take a second.
+        admission_queues: Decide when a request for a model may begin.
+        rerouter: Interrupts attempts whose requests must leave a target.
+        crashes: Detects crashed upstreams and quarantines contents.
+        limits: The request rates that upstreams announce.
     """
 
     def __init__(
         self,
         http: HttpClient,
-        spelling: CallSpelling,
+        codec: CallCodec,
         index: TargetIndex,
-        gate: Gate,
-        moves: Moves,
-        crashes: CrashWatch,
+        admission_queues: AdmissionQueues,
+        rerouter: Rerouter,
+        crashes: CrashDetector,
         limits: AnnouncedLimits,
     ) -> None:
         self._http = http
-        self._spelling = spelling
+        self._codec = codec
         self._index = index
-        self._gate = gate
-        self._moves = moves
+        self._admission_queues = admission_queues
+        self._rerouter = rerouter
         self._crashes = crashes
         self._limits = limits
 
     async def run(self, call: GatewayCall, window: RetryWindow) -> Result[None, Fault]:
-        """Run a call and answer it, or return why it has no answer.
+        """Run a request and answer its caller, or return why it can't.
+
+        If a part of the answer has gone to the caller already, an error means
+        that the rest can't follow, and the caller's connection must be cut.
 
-        Once part of an answer has gone to the caller, an error means that
-        the rest cannot come; its connection must then be cut.
+        Args:
+            call: The request.
+            window: Counts the requests and retries of its service.
         """
         loop = asyncio.get_running_loop()
         window.record_request(loop.time())
-        pool = self._index.find(call.service, call.terms.model)
-        if self._crashes.is_held(call):
+        pool = self._index.find_pool(call.service, call.terms.model)
+        if self._crashes.is_quarantined(call):
             return Err(call.attempts.make_quarantined_fault())
         if call.terms.model is not None:
-            refused = await self._gate.admit(call, pool)
+            refused = await self._admission_queues.admit(call, pool)
             if refused is not None:
                 return Err(refused)
         fault: Fault | None
         while (state := self._choose(call, pool)) is not None:
-            if self._crashes.is_held(call):
+            if self._crashes.is_quarantined(call):
                 fault = call.attempts.make_quarantined_fault()
                 break
             begun = call.attempts.begin(loop.time())
             if isinstance(begun, Err):
                 return begun
-            failure = await self._count(call, pool, state)
+            failure = await self._run_attempt(call, pool, state)
             if failure is None:
-                self._crashes.note_answer(call)
+                self._crashes.record_answer(call)
                 return Ok(None)
             if failure is AttemptFailure.LOST:
-                await self._crashes.take_lost(call, state)
-            fault = self._judge(call, state, failure, loop.time())
+                await self._crashes.handle_lost_attempt(call, state)
+            fault = self._evaluate_failure(call, state, failure, loop.time())
             if fault is not None:
                 break
         else:
@@ -128,8 +137,10 @@
             if pool.is_rate_limited(loop.time()):
                 kind = ErrorKind.OVERLOADED
             fault = call.attempts.make_no_upstream_fault(kind)
-        if call.held is not None and call.progress is Progress.NOTHING:
-            await self._pass_whole(call, call.held.response, call.held.body)
+        if call.failed_answer is not None and call.progress is Progress.NOTHING:
+            await self._write_answer(
+                call, call.failed_answer.response, call.failed_answer.body
+            )
             return Ok(None)
         return Err(fault)
 
@@ -137,11 +148,11 @@
         now = asyncio.get_running_loop().time()
         within_s = None
         if call.terms.model is not None and not call.late:
-            within_s = call.received + call.route.objective_s - now
+            within_s = call.received_at + call.route.objective_s - now
         prompt = call.terms.prompt_tokens
-        return pool.choose(now, call.tried, prompt, within_s, call.doubted)
+        return pool.choose(now, call.tried, prompt, within_s, call.suspected_domains)
 
-    def _judge(
+    def _evaluate_failure(
         self,
         call: GatewayCall,
         state: TargetState,
@@ -150,12 +161,12 @@
     ) -> Fault | None:
         call.tried.append(state.target.instance)
         if failure is AttemptFailure.FAILED and call.route.repeatable:
-            # The upstream's failure is kept and passed on if no other one
-            # does better.
-            judged = AttemptFailure.LOST
+            # The request may be sent again as after a lost attempt. The
+            # upstream's answer is passed on if no other one answers.
+            retried_as = AttemptFailure.LOST
         else:
-            judged = failure
-        fault = call.attempts.evaluate_failure(judged, call.progress, now)
+            retried_as = failure
+        fault = call.attempts.evaluate_failure(retried_as, call.progress, now)
         _log.info(
             "attempt-failed",
             request=call.terms.id,
@@ -169,24 +180,31 @@
         )
         return fault
 
-    async def _count(
+    async def _run_attempt(
         self, call: GatewayCall, pool: TargetPool, state: TargetState
     ) -> AttemptFailure | None:
+        """Run one attempt, and keep the state of its target up to date.
+
+        Returns:
+            How the attempt failed; None if the caller has its answer.
+        """
         loop = asyncio.get_running_loop()
         if not state.local_requests:
             state.last_event_at = loop.time()
         call.sent_at = loop.time()
         prompt = call.terms.prompt_tokens
-        call.predicted_s = pool.predict_first_event(state, prompt, call.sent_at)
-        call.unheard_outside = pool.begin_request(state, prompt)
-        call.state = state
-        call.seen_event = call.moved = call.overdue = False
-        self._limits.note_sent(state)
-        self._moves.begin(call, state)
+        call.predicted_first_event_s = pool.predict_first_event(
+            state, prompt, call.sent_at
+        )
+        call.unanswered_out_of_subset = pool.begin_request(state, prompt)
+        call.target_state = state
+        call.has_event = call.rerouted = call.first_event_overdue = False
+        self._limits.record_request(state)
+        self._rerouter.begin_attempt(call, state)
         failed = False
         try:
-            failure = await self._try(call, state)
-            failed = failure in _TARGET_FAULTS or call.overdue
+            failure = await self._send(call, state)
+            failed = failure in _TARGET_FAILURES or call.first_event_overdue
             if failure is None:
                 pool.forecast.record_request_time(loop.time() - call.sent_at)
             return failure
@@ -194,30 +212,34 @@
             pool.end_request(
                 state,
                 loop.time(),
-                unanswered_out_of_subset=call.unheard_outside,
-                rerouted=call.moved,
+                unanswered_out_of_subset=call.unanswered_out_of_subset,
+                rerouted=call.rerouted,
             )
-            if call.seen_event:
+            if call.has_event:
                 state.streaming -= 1
             else:
                 state.local_unread_tokens -= prompt
-            self._moves.end(call, state)
+            self._rerouter.end_attempt(call, state)
             pool.record_outcome(state, failed, loop.time())
 
-    async def _try(
+    async def _send(
         self, call: GatewayCall, state: TargetState
     ) -> AttemptFailure | None:
+        """Send a request to a target and pass on the answer.
+
+        The attempt ends early if the rerouter interrupts it by its timeout.
+        """
         loop = asyncio.get_running_loop()
         now = loop.time()
         left_s = call.deadline - now
         until = call.deadline
-        plain = call.route.kind is RequestKind.IDEMPOTENT
-        if plain and call.attempts.number < call.route.max_attempts:
-            until = min(until, now + max(PLAIN_WAIT_S, left_s / 3))
-        idle_s = 20.0 if call.route.repeatable else UNREPEATABLE_IDLE_S
+        is_plain = call.route.kind is RequestKind.IDEMPOTENT
+        if is_plain and call.attempts.number < call.route.max_attempts:
+            until = min(until, now + max(MIN_PLAIN_ATTEMPT_S, left_s / 3))
+        idle_s = 20.0 if call.route.repeatable else UNREPEATABLE_MAX_IDLE_S
         try:
-            async with asyncio.timeout_at(until) as patience:
-                call.patience = patience
+            async with asyncio.timeout_at(until) as attempt_timeout:
+                call.attempt_timeout = attempt_timeout
                 response = await self._http.send(
                     state.target.address,
                     self._make_request(call, state, left_s),
@@ -225,111 +247,119 @@
                     most_idle_s=idle_s,
                 )
                 try:
-                    response = await self._match(call, response)
-                    return await self._take_answer(call, state, response)
+                    response = await self._skip_foreign_answers(call, response)
+                    return await self._handle_answer(call, state, response)
                 except BaseException:
-                    # The caller has gone, or time is over: closing the
-                    # connection is what tells the upstream to stop.
+                    # The caller has left, or the time is over. The upstream
+                    # stops the request when its connection is closed.
                     response.abort()
                     raise
         except TimeoutError:
-            return AttemptFailure.STALLED if call.moved else AttemptFailure.TIMED_OUT
+            return AttemptFailure.STALLED if call.rerouted else AttemptFailure.TIMED_OUT
         except CallerGoneError as error:
             raise error.cause from error
         except TransportError as error:
             if error.failure is TransportFailure.NOT_SENT:
-                self._crashes.take_unsent(state)
-            return _FAILURES[error.failure]
+                self._crashes.handle_unsent_attempt(state)
+            return _ATTEMPT_FAILURES[error.failure]
 
     def _make_request(
         self, call: GatewayCall, state: TargetState, left_s: float
     ) -> Request:
-        asked = call.exchange.request
-        headers = self._spelling.forward_headers(
-            asked,
+        request = call.exchange.request
+        headers = self._codec.make_upstream_headers(
+            request,
             state.target.instance,
             left_s,
             call.customer,
             call.urgency,
             call.cursor.last_id,
         )
-        return Request(asked.method, asked.target, headers, asked.body)
+        return Request(request.method, request.target, headers, request.body)
 
-    async def _match(
+    async def _skip_foreign_answers(
         self, call: GatewayCall, response: ClientResponse
     ) -> ClientResponse:
-        """Return the answer to this request, past those to others.
+        """Return the answer to this request; skip those to other requests.
 
-        An answer that came a second time stands where this request's is
-        due. Given on, a caller would read another's.
+        If an upstream sends an answer twice, the second one is in the place of
+        the next request's answer on that connection. If it were passed on, a
+        caller would read the answer to another caller's request.
+
+        Raises:
+            TransportError: There were too many answers to other requests.
         """
-        for _ in range(MOST_EXTRA_ANSWERS):
-            answered = self._spelling.answered_request(response.headers)
-            if answered in (call.terms.id, None):
+        for _ in range(MAX_FOREIGN_ANSWERS):
+            answered_id = self._codec.parse_answered_request(response.headers)
+            if answered_id in (call.terms.id, None):
                 return response
             _log.warning(
                 "answer-foreign",
                 request=call.terms.id,
-                echoed=answered,
+                echoed=answered_id,
             )
             response = await response.skip()
-        raise TransportError(TransportFailure.MALFORMED, "too many foreign answers")
+        raise TransportError(
+            TransportFailure.MALFORMED, "too many answers to other requests"
+        )
 
-    async def _take_answer(
+    async def _handle_answer(
         self, call: GatewayCall, state: TargetState, response: ClientResponse
     ) -> AttemptFailure | None:
         now = asyncio.get_running_loop().time()
-        load = self._spelling.read_load(response.headers)
-        pool = self._index.find(call.service, call.terms.model)
+        load = self._codec.parse_load(response.headers)
+        pool = self._index.find_pool(call.service, call.terms.model)
         if load is not None:
             pool.record_reported_load(state, load.running + load.waiting, now)
-        ran = not self._spelling.answers_unrun(response.status, response.headers)
-        self._limits.note_answer(
-            state, self._spelling.read_limit(response.headers), ran=ran
+        has_run = not self._codec.has_not_run(response.status, response.headers)
+        self._limits.record_answer(
+            state, self._codec.parse_limit(response.headers), has_run=has_run
         )
-        if not ran:
+        if not has_run:
             await response.read()
             return AttemptFailure.REFUSED
         if call.route.kind is RequestKind.STREAM and _is_stream(response):
-            return await self._pass_events(call, state, response)
+            return await self._stream_events(call, state, response)
         body = await response.read()
         state.last_event_at = asyncio.get_running_loop().time()
-        # Plain work takes as long as it takes: that it came says enough.
-        self._note_heard(call, pool, 0.0, state.last_event_at)
-        if response.status >= SERVER_ERRORS:
-            call.held = HeldAnswer(response, body)
+        # The time of a whole answer isn't predicted, so that any such answer
+        # counts as in time.
+        self._record_response(call, pool, 0.0, state.last_event_at)
+        if response.status >= MIN_SERVER_ERROR_STATUS:
+            call.failed_answer = FailedAnswer(response, body)
             return AttemptFailure.FAILED
         if call.progress is not Progress.NOTHING:
-            # Not the rest of what the caller has begun to read.
+            # This answer doesn't continue the stream that the caller has
+            # begun to read.
             call.progress = Progress.PARTIAL
             return AttemptFailure.LOST
-        await self._pass_whole(call, response, body)
+        await self._write_answer(call, response, body)
         return None
 
-    async def _pass_whole(
+    async def _write_answer(
         self, call: GatewayCall, response: ClientResponse, body: bytes
     ) -> None:
-        call.first_s = asyncio.get_running_loop().time() - call.received
-        headers = self._spelling.pass_headers(response.headers)
+        call.first_byte_s = asyncio.get_running_loop().time() - call.received_at
+        headers = self._codec.make_caller_headers(response.headers)
         with CALLER_SIDE:
             await call.exchange.respond(response.status, headers, body)
 
-    async def _pass_events(
+    async def _stream_events(
         self, call: GatewayCall, state: TargetState, response: ClientResponse
     ) -> AttemptFailure | None:
         loop = asyncio.get_running_loop()
-        pool = self._index.find(call.service, call.terms.model)
+        pool = self._index.find_pool(call.service, call.terms.model)
         call.cursor.resume()
         while (data := await response.next_part()) is not None:
             now = loop.time()
             pool.record_event(state, now)
-            if not call.seen_event:
-                self._note_first_event(call, state, now)
-            taken = call.cursor.feed(data)
-            if isinstance(taken, Err):
+            if not call.has_event:
+                self._record_first_event(call, state, now)
+            events = call.cursor.feed(data)
+            if isinstance(events, Err):
                 response.abort()
                 return AttemptFailure.LOST
-            if not taken.ok_value:
+            if not events.ok_value:
                 continue
             if call.progress is Progress.NOTHING:
                 await self._start_stream(call, response)
@@ -337,16 +367,17 @@
                 pause_s = now - call.last_event_at
                 call.longest_pause_s = max(call.longest_pause_s, pause_s)
             call.last_event_at = now
-            await self._hand_on(call, state, taken.ok_value)
+            await self._write_events(call, state, events.ok_value)
         return await self._end_stream(call, response)
 
-    async def _hand_on(
+    async def _write_events(
         self, call: GatewayCall, state: TargetState, data: bytes
     ) -> None:
-        """Give events to the caller, who may read slowly.
+        """Write events to the caller, which may read slowly.
 
-        Meanwhile the target's next events lie unread: it would be taken for
-        silent, and its streams moved.
+        The target's next events lie unread until the write has ended. The
+        stream counts as blocked for this time, since the target would
+        otherwise be considered stalled and its streams would be rerouted.
         """
         state.blocked_streams += 1
         try:
@@ -356,32 +387,32 @@
             state.blocked_streams -= 1
             state.last_event_at = asyncio.get_running_loop().time()
 
-    def _note_first_event(
+    def _record_first_event(
         self, call: GatewayCall, state: TargetState, now: float
     ) -> None:
-        call.seen_event = True
+        call.has_event = True
         state.streaming += 1
         state.local_unread_tokens -= call.terms.prompt_tokens
-        pool = self._index.find(call.service, call.terms.model)
+        pool = self._index.find_pool(call.service, call.terms.model)
         took_s = now - call.sent_at
-        pool.record_first_event(call.predicted_s, took_s)
-        error_s = took_s - call.predicted_s
-        self._note_heard(call, pool, error_s, now)
-        self._gate.tally.add_error(call.terms.model or "", error_s)
+        pool.record_first_event(call.predicted_first_event_s, took_s)
+        error_s = took_s - call.predicted_first_event_s
+        self._record_response(call, pool, error_s, now)
+        self._admission_queues.tally.add_error(call.terms.model or "", error_s)
 
-    def _note_heard(
+    def _record_response(
         self, call: GatewayCall, pool: TargetPool, late_s: float, now: float
     ) -> None:
-        if call.unheard_outside:
-            call.unheard_outside = False
+        if call.unanswered_out_of_subset:
+            call.unanswered_out_of_subset = False
             pool.record_out_of_subset_first_event(late_s, now)
 
     async def _start_stream(self, call: GatewayCall, response: ClientResponse) -> None:
-        call.first_s = asyncio.get_running_loop().time() - call.received
+        call.first_byte_s = asyncio.get_running_loop().time() - call.received_at
         call.progress = Progress.RESUMABLE
         if not call.route.resumable or not call.cursor.resumable:
             call.progress = Progress.PARTIAL
-        headers = self._spelling.pass_headers(response.headers)
+        headers = self._codec.make_caller_headers(response.headers)
         with CALLER_SIDE:
             await call.exchange.start(response.status, headers)
 
@@ -389,7 +420,7 @@
         self, call: GatewayCall, response: ClientResponse
     ) -> AttemptFailure | None:
         if call.cursor.finish().strip():
-            # It stopped in the middle of an event: no whole answer.
+            # The stream ended in the middle of an event.
             return AttemptFailure.LOST
         if call.progress is Progress.NOTHING:
             return AttemptFailure.LOST
@@ -398,7 +429,7 @@
         return None
 
 
-_TARGET_FAULTS = frozenset(
+_TARGET_FAILURES = frozenset(
     {
         AttemptFailure.LOST,
         AttemptFailure.FAILED,
--- a/src/zinniaspool/gateway/crashes.py
+++ b/src/zinniaspool/gateway/crashes.py
@@ -1,4 +1,8 @@
-"""Learns which requests crash upstreams, and has all processes know them."""
+"""Detects crashed upstreams and quarantines the contents that crash them.
+
+All entry processes learn of each crash, so that a request that its caller
+sends again and again can't crash one upstream after another.
+"""
 
 import asyncio
 from collections import defaultdict
@@ -12,196 +16,220 @@
 from zinniaspool.core.messages import Message
 from zinniaspool.core.messages.fleet import ClearedContents, CrashReport, StalledTarget
 from zinniaspool.gateway.calls import GatewayCall
-from zinniaspool.gateway.moves import Moves
-from zinniaspool.gateway.probes import try_address
-from zinniaspool.gateway.records import HeldRecords
+from zinniaspool.gateway.moves import Rerouter
+from zinniaspool.gateway.probes import probe_address
+from zinniaspool.gateway.records import QuarantineRecordStore
 from zinniaspool.gateway.targets import TargetIndex
 
-__all__ = ["CrashWatch"]
+__all__ = ["CrashDetector"]
 
 _log = structlog.get_logger(__name__)
 
-MOST_TRIES = 2
-"""Connections that are tried to learn whether an upstream has ended: the first
-packet of one may be lost."""
+MAX_PROBES = 2
+"""Connections that are tried to find out whether an upstream has ended. The
+first packet of a connection may be lost."""
 
-ENDED_REST_S = 4.0
-"""For how long an upstream that has ended is left alone, in seconds: its entry
-lapses by then, or it is there as another one."""
+ENDED_BACKOFF_S = 4.0
+"""Backoff of an upstream that has ended, in seconds. By its end the instance
+record has expired, or names another incarnation."""
 
-MOST_ENDED = 1024
-"""Ended lives of instances that are remembered."""
+MAX_ENDED_INCARNATIONS = 1024
+"""Ended incarnations of instances that are remembered."""
 
 
-class CrashWatch:
-    """Finds out what upstreams crash under.
+class CrashDetector:
+    """Finds out which contents upstreams have when they crash.
 
-    An attempt that is lost in mid-answer says little: a connection may break
-    by itself. Where nobody listens any more the upstream has ended, and all
-    that it had is suspected.
+    A lost attempt alone shows little, since a connection may break by itself.
+    If no process listens at the upstream's address any more, the upstream has
+    ended, and the contents of all attempts lost there are suspected.
 
     Args:
         node: This process's VM.
         quarantine: Counts crashes.
-        records: Keeps what is held back.
+        records: Keeps quarantined contents in the store.
         index: The targets.
-        moves: Ends attempts.
-        tell_all: Sends a note to all other entry processes.
-        tell_holder: Sends one to the holder.
+        rerouter: Interrupts attempts.
+        send_to_all: Sends a message to all other entry processes.
+        send_to_holder: Sends a message to the holder.
 
     Attributes:
-        crashes: How often this process found that an upstream had ended.
+        crash_count: How often this process found that an upstream had ended.
+        quarantine: Counts crashes by content.
     """
 
     def __init__(
         self,
         node: NodeId,
         quarantine: Quarantine,
-        records: HeldRecords,
+        records: QuarantineRecordStore,
         index: TargetIndex,
-        moves: Moves,
-        tell_all: Callable[[Message], None],
-        tell_holder: Callable[[Message], None],
+        rerouter: Rerouter,
+        send_to_all: Callable[[Message], None],
+        send_to_holder: Callable[[Message], None],
     ) -> None:
-        self.crashes = 0
+        self.crash_count = 0
         self.quarantine = quarantine
         self._node = node
         self._records = records
-        self._moves = moves
+        self._rerouter = rerouter
         self._index = index
-        self._tell_all = tell_all
-        self._tell_holder = tell_holder
-        self._suspects: defaultdict[InstanceIncarnation, set[ContentId]] = defaultdict(
-            set
+        self._send_to_all = send_to_all
+        self._send_to_holder = send_to_holder
+        self._suspected_contents: defaultdict[InstanceIncarnation, set[ContentId]] = (
+            defaultdict(set)
         )
         self._checks: dict[InstanceIncarnation, asyncio.Task[None]] = {}
-        self._ended: dict[InstanceIncarnation, float] = {}
+        self._ended_at: dict[InstanceIncarnation, float] = {}
 
-    def is_held(self, call: GatewayCall) -> bool:
-        """Tell whether a request is to be sent to no upstream."""
+    def is_quarantined(self, call: GatewayCall) -> bool:
+        """Tell whether the content of a request is quarantined."""
         return self.quarantine.is_quarantined(call.content, self._now())
 
-    async def take_lost(self, call: GatewayCall, state: TargetState) -> None:
-        """Take that an attempt was lost; wait where that may decide."""
-        life = InstanceIncarnation(state.target.instance, state.target.started_at_ms)
-        if call.sent_at > self._ended.get(life, float("inf")):
-            # It was sent where nobody was any more.
+    async def handle_lost_attempt(self, call: GatewayCall, state: TargetState) -> None:
+        """Find out whether the upstream of a lost attempt has crashed.
+
+        Waits for the result if one more crash would quarantine the content, so
+        that the request isn't sent to another upstream before that is known.
+        """
+        incarnation = InstanceIncarnation(
+            state.target.instance, state.target.started_at_ms
+        )
+        if call.sent_at > self._ended_at.get(incarnation, float("inf")):
+            # It was sent after the upstream had ended.
             return
-        self._suspects[life].add(call.content)
-        check = self._start_check(life, state)
+        self._suspected_contents[incarnation].add(call.content)
+        check = self._start_check(incarnation, state)
         if self.quarantine.is_near_quarantine(call.content):
             await asyncio.shield(check)
 
-    def take_unsent(self, state: TargetState) -> None:
-        """Take that no connection to an upstream came about."""
-        life = InstanceIncarnation(state.target.instance, state.target.started_at_ms)
-        if life not in self._ended:
-            self._start_check(life, state)
+    def handle_unsent_attempt(self, state: TargetState) -> None:
+        """Find out whether an upstream that was not reached has ended."""
+        incarnation = InstanceIncarnation(
+            state.target.instance, state.target.started_at_ms
+        )
+        if incarnation not in self._ended_at:
+            self._start_check(incarnation, state)
 
-    def note_answer(self, call: GatewayCall) -> None:
-        """Take that a request was answered whole."""
+    def record_answer(self, call: GatewayCall) -> None:
+        """Record that a request was answered completely."""
         if self.quarantine.record_answer(call.content, self._now()):
             self._clear([call.content])
 
-    def hear_crash(self, note: CrashReport) -> None:
-        """Take that another process saw an upstream crash."""
-        life = InstanceIncarnation(note.instance, note.born)
-        self._note_ended(life)
-        self._count(life, note.contents, seen_here=False)
+    def handle_crash_report(self, report: CrashReport) -> None:
+        """Handle another process's report that an upstream crashed."""
+        incarnation = InstanceIncarnation(report.instance, report.born)
+        self._record_ended(incarnation)
+        self._record_crash(incarnation, report.contents, found_here=False)
 
-    def hear_cleared(self, note: ClearedContents) -> None:
-        """Take that another process answered contents."""
-        self._records.drop(note.contents)
-        for content in note.contents:
+    def handle_cleared_contents(self, message: ClearedContents) -> None:
+        """Handle another process's message that contents crash no upstream."""
+        self._records.cancel_writes(message.contents)
+        for content in message.contents:
             self.quarantine.release(content)
 
-    def take_records(
+    def apply_records(
         self, added: frozenset[ContentId], removed: frozenset[ContentId]
     ) -> None:
-        """Take which contents the store has from now on, and has no more."""
+        """Apply changes of the quarantine records in the store.
+
+        Args:
+            added: Contents that have a record from now on.
+            removed: Contents that no longer have one.
+        """
         for content in removed:
             self.quarantine.release(content)
         for content in added:
             known = self.quarantine.is_quarantined(content, self._now())
-            verdict = self.quarantine.quarantine(content, self._now())
-            if verdict is QuarantineStatus.CLEARED:
+            status = self.quarantine.quarantine(content, self._now())
+            if status is QuarantineStatus.CLEARED:
                 self._clear([content])
             elif not known:
-                self._note_held(content)
+                self._enforce_quarantine(content)
 
     def _start_check(
-        self, life: InstanceIncarnation, state: TargetState
+        self, incarnation: InstanceIncarnation, state: TargetState
     ) -> "asyncio.Task[None]":
-        check = self._checks.get(life)
+        check = self._checks.get(incarnation)
         if check is None:
-            check = asyncio.create_task(self._check(life, state.target.address))
-            self._checks[life] = check
+            check = asyncio.create_task(self._check(incarnation, state.target.address))
+            self._checks[incarnation] = check
         return check
 
-    async def _check(self, life: InstanceIncarnation, address: Address) -> None:
+    async def _check(self, incarnation: InstanceIncarnation, address: Address) -> None:
         outcome = ProbeOutcome.NO_ANSWER
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_PROBES):
             if outcome is ProbeOutcome.NO_ANSWER:
-                outcome = await try_address(address)
-        del self._checks[life]
-        contents = sorted(self._suspects.pop(life, ()))
+                outcome = await probe_address(address)
+        del self._checks[incarnation]
+        contents = sorted(self._suspected_contents.pop(incarnation, ()))
         if outcome is not ProbeOutcome.REFUSED:
             return
-        self.crashes += 1
-        self._note_ended(life)
-        # The holder would learn of it seconds later, when its entry lapses.
-        self._tell_holder(StalledTarget(life.instance, self._node))
+        self.crash_count += 1
+        self._record_ended(incarnation)
+        # Otherwise the holder would learn of the crash seconds later, when the
+        # instance record expires.
+        self._send_to_holder(StalledTarget(incarnation.instance, self._node))
         _log.warning(
             "upstream-crashed",
-            instance=life.instance,
+            instance=incarnation.instance,
             contents=",".join(contents),
         )
         if not contents:
             return
-        self._tell_all(
-            CrashReport(life.instance, life.started_at_ms, contents, self._node)
+        self._send_to_all(
+            CrashReport(
+                incarnation.instance, incarnation.started_at_ms, contents, self._node
+            )
         )
-        self._count(life, contents, seen_here=True)
+        self._record_crash(incarnation, contents, found_here=True)
 
-    def _note_ended(self, life: InstanceIncarnation) -> None:
-        """Send nothing to an upstream that has ended."""
+    def _record_ended(self, incarnation: InstanceIncarnation) -> None:
+        """Record that an upstream has ended, and avoid it for a while."""
         now = self._now()
-        self._ended.setdefault(life, now)
-        if len(self._ended) > MOST_ENDED:
-            del self._ended[next(iter(self._ended))]
-        state = self._index.find_state(life.instance)
-        if state is not None and state.target.started_at_ms == life.started_at_ms:
-            state.backoff_until = max(state.backoff_until, now + ENDED_REST_S)
-
-    def _count(
+        self._ended_at.setdefault(incarnation, now)
+        if len(self._ended_at) > MAX_ENDED_INCARNATIONS:
+            del self._ended_at[next(iter(self._ended_at))]
+        state = self._index.find_state(incarnation.instance)
+        if (
+            state is not None
+            and state.target.started_at_ms == incarnation.started_at_ms
+        ):
+            state.backoff_until = max(state.backoff_until, now + ENDED_BACKOFF_S)
+
+    def _record_crash(
         self,
-        life: InstanceIncarnation,
+        incarnation: InstanceIncarnation,
         contents: Iterable[ContentId],
         *,
-        seen_here: bool,
+        found_here: bool,
     ) -> None:
         now = self._now()
         for content in contents:
-            verdict = self.quarantine.record_crash(content, life, now)
-            if verdict is QuarantineStatus.QUARANTINED:
-                self._records.add(content, found_here=seen_here)
-                self._note_held(content)
-            elif verdict is QuarantineStatus.CLEARED:
+            status = self.quarantine.record_crash(content, incarnation, now)
+            if status is QuarantineStatus.QUARANTINED:
+                self._records.add(content, found_here=found_here)
+                self._enforce_quarantine(content)
+            elif status is QuarantineStatus.CLEARED:
                 self._clear([content])
 
-    def _note_held(self, content: ContentId) -> None:
+    def _enforce_quarantine(self, content: ContentId) -> None:
         _log.warning(
             "content-held",
             content=content,
             crashed=",".join(self.quarantine.list_crashed_instances(content)),
         )
-        self._moves.withdraw(content)
+        self._rerouter.interrupt_content(content)
 
     def _clear(self, contents: list[ContentId]) -> None:
-        """Have all forget crashes that were not these contents' fault."""
+        """Make all processes forget the crashes counted for contents.
+
+        An upstream has answered the contents, so that the crashes have another
+        cause.
+        """
         _log.info("contents-cleared", contents=",".join(contents))
         self._records.remove(contents)
-        self._tell_all(ClearedContents(contents, self._node))
+        self._send_to_all(ClearedContents(contents, self._node))
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/src/zinniaspool/gateway/directory.py
+++ b/src/zinniaspool/gateway/directory.py
@@ -1,4 +1,4 @@
-"""Which addresses callers use, and whether this process is ready."""
+"""Tells callers which addresses to use, and whether this process is ready."""
 
 import random
 from collections.abc import Callable
@@ -9,44 +9,45 @@
 from zinniaspool.fleet import FleetBelief
 from zinniaspool.http import Exchange, Headers
 
-__all__ = ["DirectoryFace"]
+__all__ = ["DirectoryHandler"]
 
-MOST_ADDRESSES = 64
-"""What callers take of one answer."""
+MAX_ADDRESSES = 64
+"""Largest number of addresses in one answer that callers accept."""
 
-LIFETIME_S = 2.0
-"""How long callers keep an answer, in seconds. Some keep it three times as
-long, and a leaving process must outlast that within its stop time."""
+MAX_LIFETIME_S = 2.0
+"""Longest time for which callers may keep an answer, in seconds. Some callers
+keep it three times as long, and a stopping process must serve them until then
+within its stop time."""
 
 
-class DirectoryFace:
-    """Answers on the addresses for directory and readiness.
+class DirectoryHandler:
+    """Answers requests at the directory and readiness addresses.
 
     Args:
-        belief: The entry processes that there are.
-        find_own: Returns this process's record while callers may be sent
-            here, else None.
-        lifetime_s: Longest lifetime that callers honour.
-        reachability: Which other VMs are reached from here.
+        fleet_view: Has the records of the other entry processes.
+        find_own_record: Returns this process's record while callers may be
+            sent here, else None.
+        lifetime_s: Longest lifetime of an answer that callers honour.
+        reachability: The other VMs that can be reached from here.
     """
 
     def __init__(
         self,
-        belief: FleetBelief,
-        find_own: Callable[[], NodeRecord | None],
+        fleet_view: FleetBelief,
+        find_own_record: Callable[[], NodeRecord | None],
         lifetime_s: float,
         reachability: ReachabilityTracker,
     ) -> None:
         self._reachability = reachability
-        self._belief = belief
-        self._find_own = find_own
-        self._lifetime_s = min(LIFETIME_S, lifetime_s)
+        self._fleet_view = fleet_view
+        self._find_own_record = find_own_record
+        self._lifetime_s = min(MAX_LIFETIME_S, lifetime_s)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one question."""
+        """Answer one request."""
         path = exchange.request.path
         if path == "/v1/readyz":
-            ready = self._find_own() is not None
+            ready = self._find_own_record() is not None
             await exchange.respond(200 if ready else 503, Headers(), b"")
         elif path == "/v1/resolve":
             await self._resolve(exchange)
@@ -63,17 +64,17 @@
         await exchange.respond(200, Headers.of(content_type="application/json"), body)
 
     def list_addresses(self) -> list[str]:
-        """Return where callers may connect, in no order."""
-        own = self._find_own()
+        """Return the addresses at which callers may connect, in no order."""
+        own = self._find_own_record()
         others = {
             record.node: record
-            for record in self._belief.nodes.values()
+            for record in self._fleet_view.nodes.values()
             if record.state is NodeState.READY
             and (own is None or record.node != own.node)
         }
         ready = [others[name] for name in self._reachability.list_usable(others)]
         if own is not None:
             ready.append(own)
-        if len(ready) > MOST_ADDRESSES:
-            ready = random.sample(ready, MOST_ADDRESSES)
+        if len(ready) > MAX_ADDRESSES:
+            ready = random.sample(ready, MAX_ADDRESSES)
         return [record.caller_address for record in ready]
--- a/src/zinniaspool/gateway/face.py
+++ b/src/zinniaspool/gateway/face.py
@@ -1,4 +1,9 @@
-"""Callers' requests: which route, whose, until when; and the final answer."""
+"""Handles callers' HTTP requests up to the final answer.
+
+For each request, the handler finds the route, the customer and the deadline,
+and has it forwarded to an upstream. It answers the requests that can't be
+forwarded, and records how each request ends.
+"""
 
 import asyncio
 import contextlib
@@ -21,8 +26,8 @@
 from zinniaspool.core.ids import ContentId, ServiceName
 from zinniaspool.fleet import FleetBelief
 from zinniaspool.gateway.calls import GatewayCall
-from zinniaspool.gateway.carrier import Carrier
-from zinniaspool.gateway.spelling import CallSpelling
+from zinniaspool.gateway.carrier import RequestForwarder
+from zinniaspool.gateway.spelling import CallCodec
 from zinniaspool.http import (
     Exchange,
     Headers,
@@ -33,22 +38,23 @@
 )
 from zinniaspool.telemetry import RequestTally
 
-__all__ = ["CallerFace", "refuse_request"]
+__all__ = ["CallerHandler", "refuse_request"]
 
 _log = structlog.get_logger(__name__)
 
-LATEST_S = 0.05
-"""Time kept back of a route's timeout, in seconds, so that the answer that it
-is over still comes within it."""
+RESPONSE_RESERVE_S = 0.05
+"""Part of a route's timeout that is reserved, in seconds, so that the answer
+that the deadline has passed still comes within the timeout."""
 
-FIRST_READ_S = 0.05
-"""Seconds after the start in which requests are read that came before."""
+STARTUP_READ_S = 0.05
+"""Time after the start in which requests are read that arrived before it, in
+seconds."""
 
-FIRST_RULES_S = 0.5
-"""Longest wait of a request for the first configuration, in seconds: the store
-and the others answer within a tenth of that, or are away for longer."""
+FIRST_CONFIGURATION_WAIT_S = 0.5
+"""Longest wait of a request for the first configuration, in seconds. The store
+and the peers answer within a tenth of that, or are unavailable for longer."""
 
-_REFUSED = {
+_REFUSAL_ERRORS = {
     RefusalKind.MALFORMED: ErrorKind.MALFORMED_REQUEST,
     RefusalKind.HEADERS_TOO_LARGE: ErrorKind.HEADERS_TOO_LARGE,
     RefusalKind.BODY_TOO_LARGE: ErrorKind.BODY_TOO_LARGE,
@@ -58,46 +64,57 @@
 }
 
 
-class CallerFace:
+class CallerHandler:
     """Answers callers' requests.
 
     Args:
-        spelling: Reads what callers say.
-        belief: Rules in force.
-        carrier: Sends requests on.
-        limits: What may be repeated.
-        may_begin: Tells whether new requests are still taken.
+        codec: Parses what callers state about their requests.
+        fleet_view: Has the active configuration.
+        forwarder: Sends requests to upstreams.
+        retry_limits: The retries that all processes together may make.
+        accepts_requests: Tells whether new requests are still accepted.
         tally: Counts how requests end.
+
+    Attributes:
+        process_count: Number of entry processes that share the retries.
+        running: Number of requests in progress.
+        idle: Set while no request is in progress.
     """
 
     def __init__(
         self,
-        spelling: CallSpelling,
-        belief: FleetBelief,
-        carrier: Carrier,
-        limits: RetryLimits,
-        may_begin: Callable[[], bool],
+        codec: CallCodec,
+        fleet_view: FleetBelief,
+        forwarder: RequestForwarder,
+        retry_limits: RetryLimits,
+        accepts_requests: Callable[[], bool],
         tally: RequestTally,
     ) -> None:
-        self.processes = 1
+        self.process_count = 1
         self.running = 0
         self.idle = asyncio.Event()
         self.idle.set()
-        self._spelling = spelling
-        self._belief = belief
-        self._carrier = carrier
-        self._limits = limits
-        self._may_begin = may_begin
+        self._codec = codec
+        self._fleet_view = fleet_view
+        self._forwarder = forwarder
+        self._retry_limits = retry_limits
+        self._accepts_requests = accepts_requests
         self._tally = tally
-        self._windows: dict[ServiceName, RetryWindow] = {}
-        self._opened = self._ready = float("-inf")
-        self._known = asyncio.Event()
-        belief.on_catalog.append(self._known.set)
+        self._retry_windows: dict[ServiceName, RetryWindow] = {}
+        self._opened_at = self._ready_at = float("-inf")
+        self._configured = asyncio.Event()
+        fleet_view.on_catalog.append(self._configured.set)
+
+    def set_opened_at(self, opened_at: float) -> None:
+        """Set when callers could first connect.
 
-    def note_opened(self, opened: float) -> None:
-        """Take since when callers could connect, though nobody read them."""
-        self._opened = opened
-        self._ready = asyncio.get_running_loop().time()
+        Requests that arrived since then were not read until now.
+
+        Args:
+            opened_at: Seconds on the event loop's clock.
+        """
+        self._opened_at = opened_at
+        self._ready_at = asyncio.get_running_loop().time()
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
@@ -111,56 +128,60 @@
                 self.idle.set()
 
     async def _handle(self, exchange: Exchange) -> None:
-        received = self._measure_arrival()
-        if self._belief.catalog is None:
-            await self._await_rules()
-        terms = self._spelling.read_terms(exchange.request)
-        admitted = self._admit(exchange, terms, received)
-        if isinstance(admitted, Err):
-            fault = admitted.err_value
+        received_at = self._estimate_arrival()
+        if self._fleet_view.catalog is None:
+            await self._await_configuration()
+        terms = self._codec.parse_terms(exchange.request)
+        made = self._make_call(exchange, terms, received_at)
+        if isinstance(made, Err):
+            fault = made.err_value
             _log.info(
                 "request-refused",
                 request=terms.id,
                 kind=fault.kind.value,
                 detail=fault.detail,
-                version=self._version(),
+                version=self._get_version(),
             )
             await self._refuse(exchange, terms, fault)
             self._tally.add("", "", fault.kind.value, 0.0)
             return
-        call = admitted.ok_value
+        call = made.ok_value
         await self._run(call)
 
-    def _measure_arrival(self) -> float:
-        """Return when a request came here, as far as can be told.
+    def _estimate_arrival(self) -> float:
+        """Return the estimated time at which a request arrived.
 
-        What is read first lay in an open connection while the program loaded,
+        The first requests lay in open connections while the program loaded,
         for half of that time on average.
         """
         now = asyncio.get_running_loop().time()
-        if now - self._ready > FIRST_READ_S:
+        if now - self._ready_at > STARTUP_READ_S:
             return now
-        return now - (self._ready - self._opened) / 2
+        return now - (self._ready_at - self._opened_at) / 2
 
-    async def _await_rules(self) -> None:
+    async def _await_configuration(self) -> None:
         """Wait for the first configuration, which takes tens of milliseconds.
 
-        A caller sent away for two seconds because of these would be late.
+        A caller that is refused retries after two seconds, and its answer
+        would be late.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(FIRST_RULES_S):
-                await self._known.wait()
+            async with asyncio.timeout(FIRST_CONFIGURATION_WAIT_S):
+                await self._configured.wait()
 
     async def _run(self, call: GatewayCall) -> None:
         end = "caller-left"
         try:
-            done = await self._carrier.run(call, self._find_window(call.service))
+            done = await self._forwarder.run(
+                call, self._find_retry_window(call.service)
+            )
             if isinstance(done, Ok):
                 end = "answered"
                 return
             end = done.err_value.kind.value
             if call.exchange.started:
-                # The rest cannot come: a clean end would make it look whole.
+                # The rest can't follow. If the answer ended cleanly, it would
+                # look complete.
                 call.exchange.abort()
                 return
             await self._refuse(call.exchange, call.terms, done.err_value)
@@ -168,12 +189,12 @@
             end = "caller-left"
             raise
         finally:
-            took_s = asyncio.get_running_loop().time() - call.received
-            self._note_end(call, end, took_s)
+            took_s = asyncio.get_running_loop().time() - call.received_at
+            self._record_end(call, end, took_s)
 
-    def _note_end(self, call: GatewayCall, end: str, took_s: float) -> None:
+    def _record_end(self, call: GatewayCall, end: str, took_s: float) -> None:
         self._tally.add(call.service, call.route.kind.value, end, took_s)
-        target = None if call.state is None else call.state.target
+        target = None if call.target_state is None else call.target_state.target
         _log.info(
             "request-ended",
             request=call.terms.id,
@@ -185,64 +206,66 @@
             group="" if target is None else (target.group or ""),
             attempts=call.attempts.number,
             late=call.late,
-            predicted_ms=int(call.predicted_s * 1000),
-            first_ms=-1 if call.first_s is None else int(call.first_s * 1000),
+            predicted_ms=int(call.predicted_first_event_s * 1000),
+            first_ms=-1 if call.first_byte_s is None else int(call.first_byte_s * 1000),
             pause_ms=int(call.longest_pause_s * 1000),
             took_ms=int(took_s * 1000),
             last_event=call.cursor.last_id or 0,
-            version=self._version(),
+            version=self._get_version(),
         )
 
-    def _version(self) -> int:
-        return 0 if self._belief.catalog is None else self._belief.catalog.version
+    def _get_version(self) -> int:
+        return (
+            0 if self._fleet_view.catalog is None else self._fleet_view.catalog.version
+        )
 
-    def _admit(
-        self, exchange: Exchange, terms: RequestTerms, received: float
+    def _make_call(
+        self, exchange: Exchange, terms: RequestTerms, received_at: float
     ) -> Result[GatewayCall, Fault]:
-        catalog = self._belief.catalog
+        catalog = self._fleet_view.catalog
         if catalog is None:
             return Err(Fault(ErrorKind.NOT_READY))
-        if not self._may_begin():
+        if not self._accepts_requests():
             return Err(Fault(ErrorKind.LEAVING))
         request = exchange.request
         host = (request.headers.get("host") or "").partition(":")[0]
         route = catalog.find_route(host, request.path)
         if route is None:
             return Err(Fault(ErrorKind.UNKNOWN_SERVICE))
-        key = self._spelling.read_key(request)
-        found = _find_customer(catalog, route, key)
-        if isinstance(found, Err):
-            return found
-        patience_s = route.timeout_s - LATEST_S
+        key = self._codec.parse_key(request)
+        customer = _find_customer(catalog, route, key)
+        if isinstance(customer, Err):
+            return customer
+        timeout_s = route.timeout_s - RESPONSE_RESERVE_S
         if terms.timeout_s is not None:
-            patience_s = min(patience_s, terms.timeout_s)
-        deadline = received + patience_s
+            timeout_s = min(timeout_s, terms.timeout_s)
+        deadline = received_at + timeout_s
         service = _choose_service(route)
         attempts = Attempts(
             RetryTerms(
                 route.repeatable, deadline, route.max_attempts, charges_refusals=True
             ),
-            _Repeats(self._find_window(service)),
+            _RetryBudget(self._find_retry_window(service)),
         )
         call = GatewayCall(
             exchange,
             terms,
             route,
             service,
-            found.ok_value,
-            received,
+            customer.ok_value,
+            received_at,
             deadline,
             attempts,
-            _identify(request, found.ok_value),
+            _identify_request_content(request, customer.ok_value),
         )
         call.cursor.last_id = terms.resume_after
         return Ok(call)
 
-    def _find_window(self, service: ServiceName) -> RetryWindow:
-        window = self._windows.get(service)
+    def _find_retry_window(self, service: ServiceName) -> RetryWindow:
+        window = self._retry_windows.get(service)
         if window is None:
-            window = self._windows[service] = RetryWindow(self._limits)
-        window.process_count = self.processes
+            window = self._retry_windows[service] = RetryWindow(self._retry_limits)
+        window.process_count = self.process_count
         return window
 
     async def _refuse(
@@ -250,7 +273,7 @@
     ) -> None:
         answer = ERROR_ANSWERS[fault.kind]
         headers = Headers.of(content_type="text/plain")
-        self._spelling.name_fault(headers, terms.id, fault.kind.value)
+        self._codec.add_fault_headers(headers, terms.id, fault.kind.value)
         retry_after = fault.retry_after or answer.retry_after
         if retry_after is not None:
             headers.add("retry-after", f"{retry_after:g}")
@@ -258,20 +281,24 @@
         await exchange.respond(answer.status, headers, body)
 
 
-class _Repeats:
-    """A service's repeats as an attempt asks for them."""
+class _RetryBudget:
+    """The retry budget of one service, for the attempts of a request."""
 
     def __init__(self, window: RetryWindow) -> None:
         self._window = window
 
     def withdraw(self) -> bool:
-        """Take one repeat; False when there is none."""
+        """Withdraw one retry; return False if the budget is used up."""
         return self._window.try_acquire(asyncio.get_running_loop().time())
 
 
 def refuse_request(kind: RefusalKind, detail: str) -> Refusal:
-    """Return the answer to what breaks the server's limits or HTTP."""
-    fault = _REFUSED[kind]
+    """Return the answer to a request that the HTTP server refuses itself.
+
+    The request breaks the HTTP protocol or a limit of the server, or its
+    handler has failed.
+    """
+    fault = _REFUSAL_ERRORS[kind]
     answer = ERROR_ANSWERS[fault]
     headers = Headers.of(content_type="text/plain", x_error_kind=fault.value)
     if answer.retry_after is not None:
@@ -288,7 +315,9 @@
     return Ok(customer)
 
 
-def _identify(request: Request, customer: CustomerSpec | None) -> ContentId:
+def _identify_request_content(
+    request: Request, customer: CustomerSpec | None
+) -> ContentId:
     name = None if customer is None else customer.name
     return identify_content(request.method, request.target, name, request.body)
 
@@ -297,7 +326,7 @@
     shares = route.shares
     if len(shares) == 1:
         return shares[0].service
-    weights = [one.weight for one in shares]
+    weights = [share.weight for share in shares]
     if not any(weights):
         return shares[0].service
     return random.choices(shares, weights)[0].service
--- a/src/zinniaspool/gateway/gate.py
+++ b/src/zinniaspool/gateway/gate.py
@@ -1,4 +1,8 @@
-"""Where requests for a model wait for their turn, or are refused."""
+"""Queues requests for a model until they may begin, or refuses them.
+
+The decision is made by one ``AdmissionController`` for each model. This module
+adds what a process knows of the request, and lets its task wait.
+"""
 
 import asyncio
 import random
@@ -20,123 +24,137 @@
 from zinniaspool.gateway.calls import GatewayCall
 from zinniaspool.telemetry import AdmissionTally
 
-__all__ = ["Gate"]
+__all__ = ["AdmissionQueues"]
 
 _log = structlog.get_logger(__name__)
 
-NOBODY = CustomerId("")
-"""Stands for callers who need no key."""
+ANONYMOUS_CUSTOMER = CustomerId("")
+"""Stands for callers that need no API key."""
 
-LAST_MILE_S = 0.02
-"""Time for an event to reach its caller and for the request to come here, in
-seconds: a few ms each way, and as much for both processes' work."""
+CALLER_TRANSIT_S = 0.02
+"""Time for the request to arrive here and for an event to reach its caller, in
+seconds: a few milliseconds each way, and as much for the work of both
+processes."""
 
-MOST_URGENT_LATE = 5
-"""Urgency upstream from which requests come that will be late in any case;
-those that can be on time have a lower one."""
+MIN_LATE_URGENCY = 5
+"""Smallest urgency value that is sent to upstreams for requests that will be
+late in any case. Requests that can be on time have a smaller, more urgent
+value."""
 
 
-class Gate:
-    """Lets requests begin, by model.
+class AdmissionQueues:
+    """Admits requests for models, each model by its own queue.
 
     Args:
-        measure_age: Returns how old the others' word on their loads is.
+        measure_peer_load_age: Returns the age of the oldest load report of a
+            peer, in seconds.
 
     Attributes:
-        tally: Counts requests by model and by how they were taken.
+        tally: Counts requests by model and by whether they were admitted on
+            time, admitted late or refused.
     """
 
-    def __init__(self, measure_age: Callable[[float], float]) -> None:
+    def __init__(self, measure_peer_load_age: Callable[[float], float]) -> None:
         self.tally = AdmissionTally()
-        self._measure_age = measure_age
-        self._source = random.Random()
-        self._admissions: dict[TargetPool, AdmissionController] = {}
-        self._patience: dict[str, CallerTimeoutEstimator] = {}
+        self._measure_peer_load_age = measure_peer_load_age
+        self._rng = random.Random()
+        self._controllers: dict[TargetPool, AdmissionController] = {}
+        self._timeout_estimators: dict[str, CallerTimeoutEstimator] = {}
         self._waiting: dict[Ticket, asyncio.Future[None]] = {}
 
     async def admit(self, call: GatewayCall, pool: TargetPool) -> Fault | None:
-        """Wait until a request may begin; return why it may not.
+        """Wait until a request may begin, or return why it is refused.
 
-        What a request is refused for is known here before anything of it has
-        left, so that "not run" is true.
+        A request is refused before any byte of it was sent to an upstream, so
+        that the promise "not run" is true.
         """
         loop = asyncio.get_running_loop()
-        admission = self._find(pool)
-        ask = self._describe(call, admission.expects_only_new_callers(loop.time()))
-        asked = admission.submit(ask, loop.time())
-        if not isinstance(asked, Refusal) and asked.state is TicketState.WAITING:
-            await self._wait(asked)
-        if not isinstance(asked, Refusal) and asked.state is TicketState.ENDED:
-            asked = admission.refuse(ask, loop.time())
-        if isinstance(asked, Refusal):
-            self._note_refusal(call, ask, asked, len(pool))
+        controller = self._find_controller(pool)
+        request = self._make_admission_request(
+            call, controller.expects_only_new_callers(loop.time())
+        )
+        decision = controller.submit(request, loop.time())
+        if not isinstance(decision, Refusal) and decision.state is TicketState.WAITING:
+            await self._wait(decision)
+        if not isinstance(decision, Refusal) and decision.state is TicketState.ENDED:
+            decision = controller.refuse(request, loop.time())
+        if isinstance(decision, Refusal):
+            self._record_refusal(call, request, decision, len(pool))
             if not len(pool):
                 return Fault(ErrorKind.NO_UPSTREAM)
-            return Fault(ErrorKind.OVERLOADED, retry_after=asked.retry_after_s)
-        self.tally.add(call.terms.model or "", "late" if asked.late else "on-time")
-        call.late = asked.late
-        call.urgency = asked.urgency + (MOST_URGENT_LATE if asked.late else 0)
+            return Fault(ErrorKind.OVERLOADED, retry_after=decision.retry_after_s)
+        self.tally.add(call.terms.model or "", "late" if decision.late else "on-time")
+        call.late = decision.late
+        call.urgency = decision.urgency + (MIN_LATE_URGENCY if decision.late else 0)
         return None
 
-    def _note_refusal(
-        self, call: GatewayCall, ask: AdmissionRequest, refusal: Refusal, targets: int
+    def _record_refusal(
+        self,
+        call: GatewayCall,
+        request: AdmissionRequest,
+        refusal: Refusal,
+        targets: int,
     ) -> None:
         now = asyncio.get_running_loop().time()
-        first_s = refusal.first_event_s
+        first_event_s = refusal.first_event_s
         self.tally.add(call.terms.model or "", "refused")
         _log.info(
             "request-not-admitted",
             request=call.terms.id,
             route=call.route.name,
             model=call.terms.model or "",
-            customer=ask.customer,
-            left_ms=int((ask.on_time_until - now) * 1000),
-            first_ms=-1 if first_s is None else int(first_s * 1000),
+            customer=request.customer,
+            left_ms=int((request.on_time_until - now) * 1000),
+            first_ms=-1 if first_event_s is None else int(first_event_s * 1000),
             targets=targets,
             in_line=refusal.queue_length,
             rest_rate=round(refusal.leftover_per_s, 2),
-            loads_age_ms=int(self._measure_age(now) * 1000),
+            loads_age_ms=int(self._measure_peer_load_age(now) * 1000),
             retry_after_s=refusal.retry_after_s,
-            took_ms=int((now - call.received) * 1000),
+            took_ms=int((now - call.received_at) * 1000),
         )
 
-    def measure_demand(self, pool: TargetPool) -> float:
-        """Return how many slots what is asked of a model would take."""
-        admission = self._admissions.get(pool)
-        if admission is None:
+    def estimate_demand(self, pool: TargetPool) -> float:
+        """Return how many slots all requests for a model would use."""
+        controller = self._controllers.get(pool)
+        if controller is None:
             return 0.0
-        return admission.estimate_demand(asyncio.get_running_loop().time())
+        return controller.estimate_demand(asyncio.get_running_loop().time())
 
-    def step(self) -> None:
-        """Let those that wait begin, as far as there is room."""
+    def admit_waiting(self) -> None:
+        """Let waiting requests begin as far as there is room."""
         now = asyncio.get_running_loop().time()
-        for admission in self._admissions.values():
-            for ticket in admission.admit_waiting(now):
+        for controller in self._controllers.values():
+            for ticket in controller.admit_waiting(now):
                 waiting = self._waiting.pop(ticket, None)
                 if waiting is not None and not waiting.done():
                     waiting.set_result(None)
 
-    def _describe(self, call: GatewayCall, calm: bool) -> AdmissionRequest:
+    def _make_admission_request(
+        self, call: GatewayCall, only_new_callers: bool
+    ) -> AdmissionRequest:
         route, customer = call.route, call.customer
         priority = route.priority
         if customer is not None and customer.priority is not None:
             priority = customer.priority
-        waited_s = self._measure_waited(call, calm)
+        waited_s = self._estimate_waited(call, only_new_callers)
         return AdmissionRequest(
-            NOBODY if customer is None else customer.name,
-            min(priority, MOST_URGENT_LATE - 1),
-            call.received + route.objective_s - waited_s - LAST_MILE_S,
-            call.received + route.caller_timeout_s,
+            ANONYMOUS_CUSTOMER if customer is None else customer.name,
+            min(priority, MIN_LATE_URGENCY - 1),
+            call.received_at + route.objective_s - waited_s - CALLER_TRANSIT_S,
+            call.received_at + route.caller_timeout_s,
             call.terms.prompt_tokens,
         )
 
-    def _measure_waited(self, call: GatewayCall, calm: bool) -> float:
-        """Return for how long a caller has waited before it came here."""
+    def _estimate_waited(self, call: GatewayCall, only_new_callers: bool) -> float:
+        """Return for how long a caller had waited before this request."""
         if call.terms.timeout_s is None:
             return 0.0
-        watch = self._patience.setdefault(call.route.name, CallerTimeoutEstimator())
-        waited_s = watch.estimate_waited(call.terms.timeout_s)
-        watch.record(call.terms.timeout_s, only_new_callers=calm)
+        estimator = self._timeout_estimators.setdefault(
+            call.route.name, CallerTimeoutEstimator()
+        )
+        waited_s = estimator.estimate_waited(call.terms.timeout_s)
+        estimator.record(call.terms.timeout_s, only_new_callers=only_new_callers)
         return waited_s
 
     async def _wait(self, ticket: Ticket) -> None:
@@ -144,13 +162,13 @@
         try:
             await waiting
         finally:
-            # A caller that leaves gives its place to the next one.
+            # If the caller has left, the next request gets its turn.
             self._waiting.pop(ticket, None)
             if ticket.state is TicketState.WAITING:
                 ticket.state = TicketState.ENDED
 
-    def _find(self, pool: TargetPool) -> AdmissionController:
-        found = self._admissions.get(pool)
+    def _find_controller(self, pool: TargetPool) -> AdmissionController:
+        found = self._controllers.get(pool)
         if found is None:
-            found = self._admissions[pool] = AdmissionController(pool, self._source)
+            found = self._controllers[pool] = AdmissionController(pool, self._rng)
         return found
--- a/src/zinniaspool/gateway/metrics.py
+++ b/src/zinniaspool/gateway/metrics.py
@@ -6,7 +6,7 @@
 
 from zinniaspool.fleet import FleetBelief, FleetStore
 from zinniaspool.fleet.metrics import add_fleet_metrics
-from zinniaspool.gateway.crashes import CrashWatch
+from zinniaspool.gateway.crashes import CrashDetector
 from zinniaspool.gateway.targets import TargetIndex
 from zinniaspool.http import HttpClient
 from zinniaspool.telemetry import AdmissionTally, RequestTally, Sample
@@ -17,14 +17,14 @@
 
 def make_gateway_metrics(
     tally: RequestTally,
-    belief: FleetBelief,
+    fleet_view: FleetBelief,
     store: FleetStore,
     index: TargetIndex,
     http: HttpClient,
-    admitted: AdmissionTally,
-    crashes: CrashWatch,
+    admission_tally: AdmissionTally,
+    crashes: CrashDetector,
 ) -> MetricsPage:
-    """Return the page of an entry process."""
+    """Return the metrics page of an entry process."""
     page = MetricsPage()
 
     def list_targets() -> Iterator[Sample]:
@@ -45,56 +45,62 @@
     page.count("zinniaspool_requests", "Requests by their end.", tally.list_ends)
     page.count(
         "zinniaspool_request_seconds_buckets",
-        "Requests that took at most so many seconds.",
+        "Requests that took at most this many seconds.",
         tally.list_latencies,
     )
     page.gauge("zinniaspool_targets", "Targets by model.", list_targets)
-    page.gauge("zinniaspool_running", "Requests upstream, by model.", list_running)
+    page.gauge(
+        "zinniaspool_running",
+        "Requests of this process at upstreams, by model.",
+        list_running,
+    )
 
     def list_ages() -> Iterator[Sample]:
-        yield Sample({}, index.measure_age(asyncio.get_running_loop().time()))
+        yield Sample({}, index.measure_peer_load_age(asyncio.get_running_loop().time()))
 
     page.count(
         "zinniaspool_admissions",
-        "Requests for models by how they were taken.",
-        admitted.list_taken,
+        "Requests for models: admitted on time, admitted late or refused.",
+        admission_tally.list_taken,
     )
     page.count(
         "zinniaspool_first_event_error_seconds_buckets",
-        "First events that came at most so much later than predicted.",
-        admitted.list_errors,
+        "First events that came at most this much later than predicted.",
+        admission_tally.list_errors,
     )
     page.gauge(
         "zinniaspool_peer_loads_age_seconds",
-        "Age of the oldest word of another entry process on its loads.",
+        "Age of the oldest load report of another entry process.",
         list_ages,
     )
 
     def list_crashes() -> Iterator[Sample]:
-        yield Sample({}, crashes.crashes)
+        yield Sample({}, crashes.crash_count)
 
     def list_held() -> Iterator[Sample]:
         yield Sample({}, crashes.quarantine.quarantined_count)
 
     page.count(
         "zinniaspool_upstream_crashes",
-        "Upstreams that this process found ended.",
+        "Upstreams that this process found to have ended.",
         list_crashes,
     )
     page.gauge(
         "zinniaspool_held_contents",
-        "Requests, by what they ask, that are sent to no upstream.",
+        "Request contents that are quarantined: sent to no upstream.",
         list_held,
     )
 
     def list_limited() -> Iterator[Sample]:
-        yield Sample({}, len(index.rates))
+        yield Sample({}, len(index.announced_rates))
 
     page.gauge(
         "zinniaspool_limited_upstreams",
-        "Upstreams that announce how many requests a second they take.",
+        "Upstreams that announce how many requests a second they accept.",
         list_limited,
     )
-    page.count("zinniaspool_connections", "Connections opened.", list_opened)
-    add_fleet_metrics(page, belief, store)
+    page.count(
+        "zinniaspool_connections", "Connections opened to upstreams.", list_opened
+    )
+    add_fleet_metrics(page, fleet_view, store)
     return page
--- a/src/zinniaspool/gateway/moves.py
+++ b/src/zinniaspool/gateway/moves.py
@@ -1,4 +1,8 @@
-"""Attempts that end so that their requests go on at another target."""
+"""Interrupts attempts so that their requests go on at another target.
+
+A request leaves its target if the target has stalled or was removed, if the
+request's first event is overdue, or if its content was quarantined.
+"""
 
 import asyncio
 from math import inf
@@ -8,11 +12,11 @@
 from zinniaspool.gateway.calls import GatewayCall
 from zinniaspool.gateway.targets import TargetIndex
 
-__all__ = ["Moves"]
+__all__ = ["Rerouter"]
 
 
-class Moves:
-    """Requests under way by target, and which of them must leave it.
+class Rerouter:
+    """Tracks the current attempts by target, and interrupts them.
 
     Args:
         index: The targets.
@@ -20,99 +24,113 @@
 
     def __init__(self, index: TargetIndex) -> None:
         self._index = index
-        self._running: dict[TargetState, set[GatewayCall]] = {}
+        self._calls: dict[TargetState, set[GatewayCall]] = {}
 
-    def begin(self, call: GatewayCall, state: TargetState) -> None:
-        """Take that a request has an attempt at a target."""
-        self._running.setdefault(state, set()).add(call)
+    def begin_attempt(self, call: GatewayCall, state: TargetState) -> None:
+        """Record that a request has an attempt at a target from now on."""
+        self._calls.setdefault(state, set()).add(call)
 
-    def end(self, call: GatewayCall, state: TargetState) -> None:
-        """Take that this attempt has ended."""
-        call.patience = None
-        running = self._running[state]
-        running.discard(call)
-        if not running:
-            del self._running[state]
+    def end_attempt(self, call: GatewayCall, state: TargetState) -> None:
+        """Record that this attempt has ended."""
+        call.attempt_timeout = None
+        calls = self._calls[state]
+        calls.discard(call)
+        if not calls:
+            del self._calls[state]
 
-    def move_from(self, state: TargetState, *, only_to_room: bool = False) -> None:
-        """End the attempts at a target, so that they go on elsewhere.
+    def reroute_from(
+        self, state: TargetState, *, only_to_free_slot: bool = False
+    ) -> None:
+        """Reroute the requests at a target to other targets.
 
         Args:
             state: The target.
-            only_to_room: Whether they go only where a slot is free: where all
-                targets are full, a request that waits is read there twice.
+            only_to_free_slot: Whether a request is rerouted only to a target
+                with a free slot. If all targets are full, the prompt of a
+                rerouted request that waits is read twice.
         """
         now = asyncio.get_running_loop().time()
-        for call in list(self._running.get(state, ())):
-            self._move(call, state, now, only_to_room=only_to_room)
+        for call in list(self._calls.get(state, ())):
+            self._reroute(call, state, now, only_to_free_slot=only_to_free_slot)
 
-    def withdraw(self, content: ContentId) -> None:
-        """End the attempts of a content that have had no event yet."""
+    def interrupt_content(self, content: ContentId) -> None:
+        """Interrupt the attempts of a content that have had no event yet."""
         now = asyncio.get_running_loop().time()
-        for calls in list(self._running.values()):
+        for calls in list(self._calls.values()):
             for call in list(calls):
-                if call.content == content and not call.seen_event:
-                    self._end_attempt(call, now)
+                if call.content == content and not call.has_event:
+                    self._interrupt_attempt(call, now)
 
-    def _end_attempt(self, call: GatewayCall, now: float) -> None:
-        if call.patience is None:
+    def _interrupt_attempt(self, call: GatewayCall, now: float) -> None:
+        if call.attempt_timeout is None:
             return
-        call.moved = True
-        call.patience.reschedule(now)
-        call.patience = None
-
-    def _move(
-        self, call: GatewayCall, state: TargetState, now: float, *, only_to_room: bool
+        call.rerouted = True
+        call.attempt_timeout.reschedule(now)
+        call.attempt_timeout = None
+
+    def _reroute(
+        self,
+        call: GatewayCall,
+        state: TargetState,
+        now: float,
+        *,
+        only_to_free_slot: bool,
     ) -> bool:
-        """End an attempt so that it goes on elsewhere; False if it may not."""
-        if call.patience is None or not self._may_move(call):
+        """Interrupt an attempt if its request can go on at another target.
+
+        Returns:
+            Whether the attempt was interrupted.
+        """
+        if call.attempt_timeout is None or not self._may_reroute(call):
             return False
         other = self._choose_other(call, state, now)
         if other is None:
             return False
-        if only_to_room and other.estimate_load(now) >= other.target.slots:
+        if only_to_free_slot and other.estimate_load(now) >= other.target.slots:
             return False
-        call.doubted.add(state.target.fabric_domain)
-        self._end_attempt(call, now)
+        call.suspected_domains.add(state.target.fabric_domain)
+        self._interrupt_attempt(call, now)
         return True
 
     def _choose_other(
         self, call: GatewayCall, state: TargetState, now: float
     ) -> TargetState | None:
-        """Return where a request would go on that is moved now, or None."""
-        pool = self._index.find(call.service, call.terms.model)
+        """Return the target that a request would be rerouted to, or None."""
+        pool = self._index.find_pool(call.service, call.terms.model)
         return pool.choose(
             now,
             [*call.tried, state.target.instance],
             call.terms.prompt_tokens,
-            suspected_domains={*call.doubted, state.target.fabric_domain},
+            suspected_domains={*call.suspected_domains, state.target.fabric_domain},
         )
 
-    def move_overdue(self, now: float) -> list[TargetState]:
-        """End first attempts whose first event is overdue.
+    def reroute_overdue(self, now: float) -> list[TargetState]:
+        """Reroute requests whose first attempt has an overdue first event.
 
-        A head may take a request and never answer it while it goes on with
-        others. The caller would wait until it leaves.
+        A head may accept a request and never answer it while it serves others.
+        The caller would otherwise wait until it gives up.
 
         Returns:
-            The targets of such attempts that write nothing for this process
-            either, so that they may stand still altogether.
+            The targets of such attempts that have no stream of this process
+            either, so that they may have stalled for all requests.
         """
-        owing = []
-        for state, calls in list(self._running.items()):
+        suspects = []
+        for state, calls in list(self._calls.items()):
             overdue = [call for call in calls if self._is_overdue(call, now)]
             if overdue and not state.streaming:
-                owing.append(state)
+                suspects.append(state)
             for call in overdue:
-                call.overdue = self._move(call, state, now, only_to_room=True)
-        return owing
+                call.first_event_overdue = self._reroute(
+                    call, state, now, only_to_free_slot=True
+                )
+        return suspects
 
     def find_next_overdue(self) -> float:
-        """Return when a first event is overdue next; infinite for never."""
+        """Return when the next first event is overdue, or infinity."""
         return min(
             (
-                self._find_due(call)
-                for calls in self._running.values()
+                self._find_first_event_deadline(call)
+                for calls in self._calls.values()
                 for call in calls
                 if self._may_be_overdue(call)
             ),
@@ -120,19 +138,24 @@
         )
 
     def _is_overdue(self, call: GatewayCall, now: float) -> bool:
-        return self._may_be_overdue(call) and now >= self._find_due(call)
+        return self._may_be_overdue(call) and now >= self._find_first_event_deadline(
+            call
+        )
 
     def _may_be_overdue(self, call: GatewayCall) -> bool:
-        # One that was taken though it will be late waits behind the others.
-        if call.terms.model is None or call.late or call.seen_event:
+        # A request that was admitted although it will be late waits behind the
+        # others.
+        if call.terms.model is None or call.late or call.has_event:
             return False
         return call.attempts.number == 1
 
-    def _find_due(self, call: GatewayCall) -> float:
-        pool = self._index.find(call.service, call.terms.model)
-        return call.sent_at + pool.first_event_timeout.compute_timeout(call.predicted_s)
+    def _find_first_event_deadline(self, call: GatewayCall) -> float:
+        pool = self._index.find_pool(call.service, call.terms.model)
+        return call.sent_at + pool.first_event_timeout.compute_timeout(
+            call.predicted_first_event_s
+        )
 
-    def _may_move(self, call: GatewayCall) -> bool:
+    def _may_reroute(self, call: GatewayCall) -> bool:
         if not call.route.repeatable or call.progress is Progress.PARTIAL:
             return False
         return call.attempts.number < call.route.max_attempts
--- a/src/zinniaspool/gateway/probes.py
+++ b/src/zinniaspool/gateway/probes.py
@@ -1,4 +1,8 @@
-"""Tries now and then whether callers get through to the other entry VMs."""
+"""Probes whether callers can reach the other entry VMs.
+
+A probe connects to the address that callers use. The directory leaves out the
+VMs that can't be reached.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -9,60 +13,65 @@
 from zinniaspool.core.ids import Address, NodeId, split_address
 from zinniaspool.fleet import FleetBelief
 
-__all__ = ["NodeProber", "try_address"]
+__all__ = ["NodeProber", "probe_address"]
 
 _log = structlog.get_logger(__name__)
 
-PROBE_S = 0.5
-"""Pause between tries, in seconds; one costs some tenths of a millisecond."""
+PROBE_INTERVAL_S = 0.5
+"""Pause between probes, in seconds. A probe costs a few tenths of a
+millisecond."""
 
-CONNECT_S = 0.3
+CONNECT_TIMEOUT_S = 0.3
 """Longest wait for a connection, in seconds: hundreds of round trips within a
 region."""
 
 
 class NodeProber:
-    """Keeps up to date which VMs can be reached.
+    """Probes the other entry VMs and records which of them can be reached.
 
     Args:
-        belief: The entry processes that there are.
-        own: This VM.
-        reachability: What the tries show.
-        on_lost: Told of a VM that has become unreachable from here.
+        fleet_view: Has the records of the other entry processes.
+        local_node: This VM.
+        reachability: Chooses the VMs to probe, and keeps the outcomes.
+        on_unreachable: Called with a VM that has become unreachable from here.
     """
 
     def __init__(
         self,
-        belief: FleetBelief,
-        own: NodeId,
+        fleet_view: FleetBelief,
+        local_node: NodeId,
         reachability: ReachabilityTracker,
-        on_lost: Callable[[NodeId], None],
+        on_unreachable: Callable[[NodeId], None],
     ) -> None:
-        self._belief = belief
-        self._own = own
+        self._fleet_view = fleet_view
+        self._local_node = local_node
         self._reachability = reachability
-        self._on_lost = on_lost
+        self._on_unreachable = on_unreachable
 
     async def run(self) -> None:
-        """Try others until cancelled."""
+        """Probe other VMs until cancelled."""
         while True:
-            others = [name for name in self._belief.nodes if name != self._own]
+            others = [
+                name for name in self._fleet_view.nodes if name != self._local_node
+            ]
             chosen = self._reachability.choose_probes(others)
-            records = [self._belief.nodes[name] for name in chosen]
-            await asyncio.gather(asyncio.sleep(PROBE_S), *map(self._try, records))
+            records = [self._fleet_view.nodes[name] for name in chosen]
+            await asyncio.gather(
+                asyncio.sleep(PROBE_INTERVAL_S), *map(self._probe, records)
+            )
 
-    async def _try(self, record: NodeRecord) -> None:
-        outcome = await try_address(record.caller_address)
+    async def _probe(self, record: NodeRecord) -> None:
+        outcome = await probe_address(record.caller_address)
         if self._reachability.record_outcome(record.node, outcome):
             _log.warning("node-unreachable", peer=record.node, outcome=outcome.value)
-            self._on_lost(record.node)
+            self._on_unreachable(record.node)
 
 
-async def try_address(address: Address) -> ProbeOutcome:
-    """Connect as a caller would, and close again."""
+async def probe_address(address: Address) -> ProbeOutcome:
+    """Connect to an address as a caller would, and close the connection."""
     host, port = split_address(address)
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, port)
     except ConnectionRefusedError:
         return ProbeOutcome.REFUSED
--- a/src/zinniaspool/gateway/records.py
+++ b/src/zinniaspool/gateway/records.py
@@ -1,4 +1,7 @@
-"""Records in the store of what is held back, so that it lasts."""
+"""Records quarantined contents in the store.
+
+A quarantine thereby outlasts the entry processes that counted the crashes.
+"""
 
 import asyncio
 import random
@@ -14,63 +17,72 @@
 from zinniaspool.core.storage import KeyWrite, StoreFault
 from zinniaspool.fleet import FleetBelief, FleetStore
 
-__all__ = ["HeldRecords"]
+__all__ = ["QuarantineRecordStore"]
 
 _log = structlog.get_logger(__name__)
 
-CHECK_S = 0.2
-"""Pause between looks for contents that are to be recorded, in seconds."""
+CHECK_INTERVAL_S = 0.2
+"""Pause between checks for contents that are to be recorded, in seconds."""
 
-LEAST_WAIT_S = 0.6  # seconds, a change has come round by then
-MOST_WAIT_S = 2.0
-"""Wait before a process records what another one found out, in seconds: that
-one may be gone, and not all need write it."""
+MIN_WRITE_DELAY_S = 0.6  # seconds, a change is known to all by then
+MAX_WRITE_DELAY_S = 2.0
+"""Delay before a process records a quarantine that another process found, in
+seconds. That process may have ended before it wrote the record. The delay is
+random, since not all other processes need to write it."""
 
 
-class HeldRecords:
-    """Writes and removes this fleet's records of contents held back.
+class QuarantineRecordStore:
+    """Writes and removes the records of quarantined contents.
 
     Args:
         node: This process's VM.
-        belief: What is recorded.
-        store: Where.
-        list_crashed: Returns the instances that crashed under a content.
+        fleet_view: Has the contents that are recorded.
+        store: The store that has the records.
+        list_crashed_instances: Returns the instances that crashed while they
+            had a content.
     """
 
     def __init__(
         self,
         node: NodeId,
-        belief: FleetBelief,
+        fleet_view: FleetBelief,
         store: FleetStore,
-        list_crashed: Callable[[ContentId], list[InstanceId]],
+        list_crashed_instances: Callable[[ContentId], list[InstanceId]],
     ) -> None:
         self._node = node
-        self._belief = belief
+        self._fleet_view = fleet_view
         self._store = store
-        self._list_crashed = list_crashed
-        self._due: dict[ContentId, float] = {}
+        self._list_crashed_instances = list_crashed_instances
+        self._write_due_at: dict[ContentId, float] = {}
         self._removals: set[asyncio.Task[None]] = set()
 
     def add(self, content: ContentId, *, found_here: bool) -> None:
-        """Have a content recorded, by this process if no other one does.
+        """Have a content recorded, by this process if no other one does it.
 
         Args:
-            content: Which.
-            found_here: Whether this process found it out.
+            content: The quarantined content.
+            found_here: Whether this process found the last crash. If so, it
+                writes the record at once.
         """
         now = asyncio.get_running_loop().time()
-        wait_s = 0.0 if found_here else random.uniform(LEAST_WAIT_S, MOST_WAIT_S)
-        self._due[content] = now + wait_s
+        delay_s = (
+            0.0 if found_here else random.uniform(MIN_WRITE_DELAY_S, MAX_WRITE_DELAY_S)
+        )
+        self._write_due_at[content] = now + delay_s
 
-    def drop(self, contents: Collection[ContentId]) -> None:
-        """Record contents no more that are held back no longer."""
+    def cancel_writes(self, contents: Collection[ContentId]) -> None:
+        """Cancel the pending writes of contents that are released."""
         for content in contents:
-            self._due.pop(content, None)
+            self._write_due_at.pop(content, None)
 
     def remove(self, contents: Collection[ContentId]) -> None:
         """Remove the records of contents that crash no upstream."""
-        self.drop(contents)
-        keys = [HELD_PREFIX + one for one in contents if one in self._belief.held]
+        self.cancel_writes(contents)
+        keys = [
+            HELD_PREFIX + content
+            for content in contents
+            if content in self._fleet_view.held
+        ]
         if not keys:
             return
         removal = asyncio.create_task(self._remove(keys))
@@ -81,11 +93,11 @@
         """Write records until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(CHECK_S)
-            for content, due in list(self._due.items()):
-                if content in self._belief.held:
-                    self._due.pop(content, None)
-                elif due <= loop.time():
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            for content, due_at in list(self._write_due_at.items()):
+                if content in self._fleet_view.held:
+                    self._write_due_at.pop(content, None)
+                elif due_at <= loop.time():
                     await self._write(content)
 
     async def _write(self, content: ContentId) -> None:
@@ -93,15 +105,15 @@
         if isinstance(granted, Err):
             return
         key = HELD_PREFIX + content
-        record = QuarantineRecord(self._node, self._list_crashed(content))
+        record = QuarantineRecord(self._node, self._list_crashed_instances(content))
         write = KeyWrite(key, msgspec.json.encode(record), granted.ok_value)
         written = await self._store.commit([(key, Revision(0))], [write])
         if not isinstance(written, Err) or written.err_value is StoreFault.CONFLICT:
-            self._due.pop(content, None)
+            self._write_due_at.pop(content, None)
 
     async def _remove(self, keys: list[str]) -> None:
         removed = await self._store.commit([], [], keys)
         if isinstance(removed, Err):
-            # The record ends with its lease; until then whoever answers the
-            # content clears it anew.
+            # The record expires with its lease. Until then, each process that
+            # answers the content clears it again.
             _log.warning("record-not-removed", fault=removed.err_value.value)
--- a/src/zinniaspool/gateway/spelling.py
+++ b/src/zinniaspool/gateway/spelling.py
@@ -1,4 +1,8 @@
-"""How callers and instances spell what they say, as the gateway needs it."""
+"""The codec of the headers of callers and instances, as the gateway needs it.
+
+Headers differ by platform. The entry program of a platform passes in its
+implementation.
+"""
 
 from typing import Protocol
 
@@ -7,21 +11,21 @@
 from zinniaspool.core.ids import RequestId
 from zinniaspool.http import Headers, Request
 
-__all__ = ["CallSpelling"]
+__all__ = ["CallCodec"]
 
 
-class CallSpelling(Protocol):
-    """Reads and writes the headers of requests and answers."""
+class CallCodec(Protocol):
+    """Parses and makes the headers of requests and answers."""
 
-    def read_terms(self, request: Request) -> RequestTerms:
-        """Return what a caller says; what cannot be read counts as unsaid."""
+    def parse_terms(self, request: Request) -> RequestTerms:
+        """Return what a caller states; ignore headers that can't be parsed."""
         ...
 
-    def read_key(self, request: Request) -> str | None:
-        """Return the key that a request carries, or None."""
+    def parse_key(self, request: Request) -> str | None:
+        """Return the API key in a request, or None."""
         ...
 
-    def forward_headers(
+    def make_upstream_headers(
         self,
         request: Request,
         instance: InstanceId,
@@ -30,38 +34,48 @@
         urgency: int | None,
         resume_after: int | None,
     ) -> Headers:
-        """Return the headers with which a request goes to an instance.
+        """Return the headers of a request as it is sent to an instance.
 
         Args:
-            request: The caller's.
-            instance: Which instance must answer.
+            request: The caller's request.
+            instance: The instance that must answer.
             left_s: How long the caller still waits, in seconds.
-            customer: Whose request it is, if anybody's.
-            urgency: 0 to 9, 0 first; None for the usual.
-            resume_after: The last event passed on, or None for all.
+            customer: Customer that sent the request; None for an anonymous
+                caller.
+            urgency: 0 to 9, 0 is the most urgent; None for the usual urgency.
+            resume_after: Id of the last event that was passed on; None to get
+                all events.
         """
         ...
 
-    def pass_headers(self, headers: Headers) -> Headers:
-        """Return an instance's headers as its answer's reader gets them."""
+    def make_caller_headers(self, headers: Headers) -> Headers:
+        """Return the headers of an answer as its caller gets them."""
         ...
 
-    def answers_unrun(self, status: int, headers: Headers) -> bool:
-        """Tell whether an instance promises that a request has not run."""
+    def has_not_run(self, status: int, headers: Headers) -> bool:
+        """Tell whether an answer promises that its request has not run."""
         ...
 
-    def answered_request(self, headers: Headers) -> RequestId | None:
-        """Return the request that an answer belongs to, or None if unsaid."""
+    def parse_answered_request(self, headers: Headers) -> RequestId | None:
+        """Return the request that an answer names as its own, or None."""
         ...
 
-    def read_load(self, headers: Headers) -> InstanceLoad | None:
-        """Return an instance's load as an answer tells it, or None."""
+    def parse_load(self, headers: Headers) -> InstanceLoad | None:
+        """Return the load that an answer reports, or None."""
         ...
 
-    def read_limit(self, headers: Headers) -> float | None:
-        """Return the requests a second that an instance takes, or None."""
+    def parse_limit(self, headers: Headers) -> float | None:
+        """Return the requests a second that an instance accepts, or None."""
         ...
 
-    def name_fault(self, headers: Headers, request: RequestId, code: str) -> None:
-        """Mark an answer of our own with its request and the error's kind."""
+    def add_fault_headers(
+        self, headers: Headers, request: RequestId, code: str
+    ) -> None:
+        """Add the headers of an error that this process answers.
+
+        Args:
+            headers: The headers of the answer, which are extended.
+            request: Id of the request.
+            code: The error's kind.
+        """
         ...
--- a/src/zinniaspool/gateway/targets.py
+++ b/src/zinniaspool/gateway/targets.py
@@ -1,4 +1,9 @@
-"""Targets by service and model, kept as the fleet changes."""
+"""Keeps the targets of each service and model up to date with the fleet.
+
+The targets of a service without models are its instances. The targets of a
+model are the heads of its whole replica groups. The load of a target is known
+from this process's own requests and from the load reports of its peers.
+"""
 
 import random
 from collections import defaultdict
@@ -42,58 +47,61 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PartTargets:
-    """The targets of one part of the fleet, as it was at one version."""
+class _InstancePartTargets:
+    """The targets of one part of the fleet, at one version of that part."""
 
     version: int
     targets: dict[_PoolKey, list[Target]]
 
 
 class TargetIndex:
-    """All targets.
+    """All targets, in one pool for each service or model.
 
     Args:
-        belief: What is known of the fleet.
-        own_domain: This process's failure domain.
+        fleet_view: The known state of the fleet.
+        local_domain: This process's failure domain.
 
     Attributes:
-        rates: What instances have announced to take.
+        announced_rates: The request rates that instances have announced.
     """
 
-    def __init__(self, belief: FleetBelief, own_domain: FailureDomainId) -> None:
-        self._belief = belief
-        self._own_domain = own_domain
-        self._source = random.Random()
-        self.rates: dict[InstanceIncarnation, AnnouncedRate] = {}
+    def __init__(self, fleet_view: FleetBelief, local_domain: FailureDomainId) -> None:
+        self._fleet_view = fleet_view
+        self._local_domain = local_domain
+        self._rng = random.Random()
+        self.announced_rates: dict[InstanceIncarnation, AnnouncedRate] = {}
         self._pools: dict[_PoolKey, TargetPool] = {}
         self._subset: Subset | None = None
-        self._everybody = 1
-        self._peers = PeerLoads()
-        self._changes = LoadChangeTracker()
+        self._process_count = 1
+        self._peer_loads = PeerLoads()
+        self._load_changes = LoadChangeTracker()
         self._catalog: Catalog | None = None
-        self._parts: dict[InstancePartition, _PartTargets] = {}
+        self._parts: dict[InstancePartition, _InstancePartTargets] = {}
+
+    def find_pool(self, service: ServiceName, model: ModelName | None) -> TargetPool:
+        """Return the pool of a service or of one of its models.
 
-    def find(self, service: ServiceName, model: ModelName | None) -> TargetPool:
-        """Return the pool of a service's model, empty if unknown."""
+        An unknown service or model gets an empty pool.
+        """
         key = (service, model)
         pool = self._pools.get(key)
         if pool is None:
-            pool = TargetPool(self._own_domain, self._source, self.rates)
+            pool = TargetPool(self._local_domain, self._rng, self.announced_rates)
             if self._subset is not None:
-                pool.set_subset(self._subset, self._everybody)
+                pool.set_subset(self._subset, self._process_count)
             self._pools[key] = pool
         return pool
 
-    def set_subset(self, subset: Subset, everybody: int) -> None:
-        """Take which entry processes share which targets.
+    def set_subset(self, subset: Subset, process_count: int) -> None:
+        """Set which entry processes share which targets.
 
         Args:
-            subset: Those that share some with this one.
-            everybody: How many there are.
+            subset: The processes that share targets with this one.
+            process_count: Number of entry processes in the fleet.
         """
-        self._subset, self._everybody = subset, everybody
+        self._subset, self._process_count = subset, process_count
         for pool in self._pools.values():
-            pool.set_subset(subset, everybody)
+            pool.set_subset(subset, process_count)
 
     def __iter__(self) -> Iterator[TargetState]:
         for pool in self._pools.values():
@@ -104,15 +112,15 @@
         return list(self._pools.values())
 
     def find_state(self, instance: InstanceId) -> TargetState | None:
-        """Return the target at an instance, or None."""
+        """Return the state of the target at an instance, or None."""
         for pool in self._pools.values():
             state = pool.get(instance)
             if state is not None:
                 return state
         return None
 
-    def list_busy(self) -> list[TargetState]:
-        """Return the targets at which this process has requests."""
+    def list_busy_states(self) -> list[TargetState]:
+        """Return the states of targets at which this process has requests."""
         return [
             state
             for pool in self._pools.values()
@@ -121,140 +129,160 @@
         ]
 
     def list_demands(
-        self, measure: Callable[[TargetPool], float]
+        self, estimate_demand: Callable[[TargetPool], float]
     ) -> list[ModelDemandReport]:
-        """Return how many slots would take what is asked of each model."""
+        """Return how many slots all requests for each model would use.
+
+        Args:
+            estimate_demand: Returns this number for the pool of a model.
+        """
         return [
-            ModelDemandReport(service, model, round(measure(pool), 2))
+            ModelDemandReport(service, model, round(estimate_demand(pool), 2))
             for (service, model), pool in self._pools.items()
             if model is not None
         ]
 
-    # What processes tell each other of their loads.
+    # Load reports between processes.
 
-    def list_load_changes(self) -> dict[InstanceId, TargetLoad]:
-        """Return what of this process's loads is to be told to the others."""
-        return self._changes.collect_changes(self.list_loads())
+    def collect_load_changes(self) -> dict[InstanceId, TargetLoad]:
+        """Return the local loads that peers don't know yet.
+
+        They count as reported from then on.
+        """
+        return self._load_changes.collect_changes(self.list_local_loads())
 
-    def list_loads(self) -> dict[InstanceId, TargetLoad]:
+    def list_local_loads(self) -> dict[InstanceId, TargetLoad]:
         """Return this process's requests by target."""
         return {
             state.target.instance: TargetLoad(
                 state.local_requests, state.local_unread_tokens
             )
-            for state in self.list_busy()
+            for state in self.list_busy_states()
         }
 
-    def take_loads(self, note: LoadReport, now: float) -> None:
-        """Take what another process has at targets."""
-        self._set_peers(
-            self._peers.apply_report(note.node, note.loads, now, complete=note.whole)
+    def apply_load_report(self, report: LoadReport, now: float) -> None:
+        """Apply another process's load report."""
+        self._update_peer_loads(
+            self._peer_loads.apply_report(
+                report.node, report.loads, now, complete=report.whole
+            )
         )
 
     def expire_loads(self, now: float) -> None:
-        """Forget what processes had that fell silent."""
-        self._set_peers(self._peers.expire(now))
+        """Remove the loads of processes that no longer report them."""
+        self._update_peer_loads(self._peer_loads.expire(now))
 
-    def measure_age(self, now: float) -> float:
-        """Return how old the oldest word on others' loads is, in seconds."""
-        return self._peers.measure_oldest_age(now)
+    def measure_peer_load_age(self, now: float) -> float:
+        """Return the age of the oldest load report in use, in seconds."""
+        return self._peer_loads.measure_oldest_age(now)
 
-    def _set_peers(self, changed: Collection[InstanceId]) -> None:
+    def _update_peer_loads(self, changed: Collection[InstanceId]) -> None:
         if not changed:
             return
         for pool in self._pools.values():
             for instance in changed:
                 state = pool.get(instance)
                 if state is not None:
-                    state.peer_load = self._peers.get(instance)
+                    state.peer_load = self._peer_loads.get(instance)
                     state.update_peak_unread()
 
     def refresh(self, now: float) -> list[TargetState]:
-        """Take the fleet as it is now; return the targets that are no more."""
-        catalog = self._belief.catalog
+        """Update the targets from the fleet; return the removed ones.
+
+        Targets that are another group or another incarnation now are among the
+        removed ones.
+        """
+        catalog = self._fleet_view.catalog
         if catalog is None:
             return []
         if catalog is not self._catalog:
             self._catalog = catalog
             self._parts.clear()
-            self._set_paces(catalog)
-        touched = self._refresh_parts(catalog)
-        gone = []
-        for key in touched:
+            self._set_engine_timings(catalog)
+        changed = self._refresh_parts(catalog)
+        removed = []
+        for key in changed:
             wanted = [
                 target
                 for part in self._parts.values()
                 for target in part.targets.get(key, ())
             ]
-            gone += self.find(*key).update(wanted, now)
-            self._set_peers([one.instance for one in wanted])
-        for state in gone:
+            removed += self.find_pool(*key).update(wanted, now)
+            self._update_peer_loads([target.instance for target in wanted])
+        for state in removed:
             _log.info(
                 "target-gone",
                 instance=state.target.instance,
                 group=state.target.group or "",
                 own=state.local_requests,
             )
-        return gone
+        return removed
 
-    def _set_paces(self, catalog: Catalog) -> None:
+    def _set_engine_timings(self, catalog: Catalog) -> None:
         for service, spec in catalog.services.items():
             if spec.engine is None:
                 continue
             for model in spec.engine.models:
-                pace = EngineTiming.from_specs(spec.engine, model)
-                self.find(service, model.name).forecast.timing = pace
+                timing = EngineTiming.from_specs(spec.engine, model)
+                self.find_pool(service, model.name).forecast.timing = timing
 
     def _refresh_parts(self, catalog: Catalog) -> set[_PoolKey]:
-        """Work out the targets of changed parts; return the pools touched."""
-        book = self._belief.book
-        fresh = not self._parts
-        touched: set[_PoolKey] = set(self._pools) if fresh else set()
-        for part in book.list_partitions():
-            version = book.get_version(part)
+        """Find the targets of changed parts; return the changed pools."""
+        instances = self._fleet_view.book
+        has_no_parts = not self._parts
+        changed: set[_PoolKey] = set(self._pools) if has_no_parts else set()
+        for part in instances.list_partitions():
+            version = instances.get_version(part)
             known = self._parts.get(part)
             if known is not None and known.version == version:
                 continue
             before = {} if known is None else known.targets
-            targets = _find_targets(part, book.list_reachable(part), catalog)
-            self._parts[part] = _PartTargets(version, targets)
-            touched |= {
+            targets = _find_targets(part, instances.list_reachable(part), catalog)
+            self._parts[part] = _InstancePartTargets(version, targets)
+            changed |= {
                 key
                 for key in before.keys() | targets.keys()
                 if before.get(key) != targets.get(key)
             }
-        return touched
+        return changed
 
 
 def _find_targets(
     part: InstancePartition, instances: Iterable[Instance], catalog: Catalog
 ) -> dict[_PoolKey, list[Target]]:
-    """Return the targets of one part by the pools that they are for."""
+    """Return the targets of one part of the fleet by pool."""
     spec = catalog.services.get(part.service)
     if spec is None:
-        # No route leads there: the operator names no such service.
+        # The operator's configuration has no such service, so that no route
+        # leads to it.
         return {}
     if spec.engine is None:
-        return {(part.service, None): [_make_plain(one) for one in instances]}
+        return {
+            (part.service, None): [
+                _make_plain_target(instance) for instance in instances
+            ]
+        }
     sizes = {model.name: model.size for model in spec.engine.models}
     found: defaultdict[_PoolKey, list[Target]] = defaultdict(list)
     for group in find_complete_groups(instances, sizes):
-        found[part.service, group.model].append(_make_group(group, spec.engine.slots))
+        found[part.service, group.model].append(
+            _make_group_target(group, spec.engine.slots)
+        )
     return dict(found)
 
 
-def _make_plain(one: Instance) -> Target:
+def _make_plain_target(instance: Instance) -> Target:
     return Target(
-        one.id,
-        one.address,
-        one.failure_domain,
-        max(1, one.slots),
-        started_at_ms=one.started_at_ms,
-        draining=one.state is InstanceState.LEAVING,
+        instance.id,
+        instance.address,
+        instance.failure_domain,
+        max(1, instance.slots),
+        started_at_ms=instance.started_at_ms,
+        draining=instance.state is InstanceState.LEAVING,
     )
 
 
-def _make_group(group: CompleteGroup, slots: int) -> Target:
+def _make_group_target(group: CompleteGroup, slots: int) -> Target:
     head = group.head
     return Target(
         head.id,
--- a/src/zinniaspool/platform/gateway.py
+++ b/src/zinniaspool/platform/gateway.py
@@ -3,7 +3,7 @@
 import socket
 
 from zinniaspool.fleet import NodeSettings
-from zinniaspool.gateway.main import CONNECT_S, GatewayProcess
+from zinniaspool.gateway.main import CONNECT_TIMEOUT_S, GatewayProcess
 from zinniaspool.http import HttpClient
 from zinniaspool.platform import wire
 from zinniaspool.platform.kvstore import KvStore
@@ -27,7 +27,7 @@
         listener: Listens where callers connect already, if anything does.
         opened: Since when, in seconds of the steady clock.
     """
-    store = KvStore(HttpClient(connect_s=CONNECT_S), node.store_address)
+    store = KvStore(HttpClient(connect_s=CONNECT_TIMEOUT_S), node.store_address)
     return GatewayProcess(
         node, store, PlatformSpelling(), wire, metrics_port, listener, opened
     )
--- a/src/zinniaspool/platform/wire.py
+++ b/src/zinniaspool/platform/wire.py
@@ -9,15 +9,15 @@
 from zinniaspool.http import Headers, Request
 
 __all__ = [
-    "answered_request",
-    "answers_unrun",
-    "forward_headers",
-    "name_fault",
-    "pass_headers",
-    "read_key",
-    "read_limit",
-    "read_load",
-    "read_terms",
+    "parse_answered_request",
+    "has_not_run",
+    "make_upstream_headers",
+    "add_fault_headers",
+    "make_caller_headers",
+    "parse_key",
+    "parse_limit",
+    "parse_load",
+    "parse_terms",
 ]
 
 _PREFIX = "x-zinniaspool-"
@@ -62,7 +62,7 @@
 )
 
 
-def read_terms(request: Request) -> RequestTerms:
+def parse_terms(request: Request) -> RequestTerms:
     """Return what a caller says; what cannot be read counts as unsaid."""
     headers = request.headers
     tokens = _numbers(headers.get(_TOKENS))
@@ -79,7 +79,7 @@
     )
 
 
-def read_key(request: Request) -> str | None:
+def parse_key(request: Request) -> str | None:
     """Return the key that a request carries, or None."""
     value = request.headers.get("authorization")
     if value is None:
@@ -88,7 +88,7 @@
     return key.strip() if scheme.lower() == "token" else None
 
 
-def forward_headers(
+def make_upstream_headers(
     request: Request,
     instance: InstanceId,
     left_s: float,
@@ -125,7 +125,7 @@
     return headers
 
 
-def pass_headers(headers: Headers) -> Headers:
+def make_caller_headers(headers: Headers) -> Headers:
     """Return an instance's headers as its answer's reader gets them."""
     named = _named_by_connection(headers)
     return Headers(
@@ -135,18 +135,18 @@
     )
 
 
-def answers_unrun(status: int, headers: Headers) -> bool:
+def has_not_run(status: int, headers: Headers) -> bool:
     """Tell whether an instance promises that it has not run the request."""
     return status == _MISDIRECTED or headers.get(_UNRUN) is not None
 
 
-def answered_request(headers: Headers) -> RequestId | None:
+def parse_answered_request(headers: Headers) -> RequestId | None:
     """Return the request that an answer belongs to, or None if unsaid."""
     value = headers.get(_REQUEST_ID)
     return None if value is None else RequestId(value)
 
 
-def read_load(headers: Headers) -> InstanceLoad | None:
+def parse_load(headers: Headers) -> InstanceLoad | None:
     """Return an instance's load as an answer tells it, or None."""
     match _numbers(headers.get(_LOAD)):
         case [running, waiting, slots]:
@@ -154,7 +154,7 @@
     return None
 
 
-def read_limit(headers: Headers) -> float | None:
+def parse_limit(headers: Headers) -> float | None:
     """Return the requests a second that an instance takes, or None if unsaid.
 
     What is no number of requests counts as unsaid.
@@ -166,7 +166,7 @@
     return per_s if 0.0 <= per_s < math.inf else None
 
 
-def name_fault(headers: Headers, request: RequestId, code: str) -> None:
+def add_fault_headers(headers: Headers, request: RequestId, code: str) -> None:
     """Mark an answer of our own with its request and the error's kind."""
     if request:
         headers.add(_REQUEST_ID, request)
--- a/tools/try_safeguards.py
+++ b/tools/try_safeguards.py
@@ -41,7 +41,7 @@
     Safeguard(
         "VMs tell each other what they send to a limited upstream",
         "src/zinniaspool/gateway/limits.py",
-        "if note.sent and rate is not None:",
+        "if report.sent and rate is not None:",
         "if False and rate is not None:",
         "tests/test_announced_limits.py::test_an_upstream_gets_no_more_than_it_announced",
     ),
@@ -64,7 +64,7 @@
     Safeguard(
         "what is held back outlasts the processes",
         "src/zinniaspool/gateway/crashes.py",
-        "self._records.add(content, found_here=seen_here)",
+        "self._records.add(content, found_here=found_here)",
         "pass",
         "tests/test_quarantine.py::test_a_quarantine_outlasts_all_entry_processes",
     ),
@@ -166,14 +166,14 @@
     Safeguard(
         "an answer to another request is thrown away",
         "src/zinniaspool/gateway/carrier.py",
-        "if answered in (call.terms.id, None):",
+        "if answered_id in (call.terms.id, None):",
         "if True:",
         "tests/test_installation.py::test_an_answer_too_many_reaches_nobody",
     ),
     Safeguard(
         "silent heads are looked for soon after anything was sent",
         "src/zinniaspool/gateway/silence.py",
-        "            now + MOST_PAUSE_S,\n",
+        "            now + MAX_CHECK_INTERVAL_S,\n",
         "            now + 10.0,\n",
         "tests/test_silence.py",
     ),
