--- a/tests/test_installation_moves.py
+++ b/tests/test_installation_moves.py
@@ -5,6 +5,7 @@
 from structlog.testing import capture_logs
 
 from tests.installation import Installation, eventually, run
+from zinniaspool_standins.installation import make_rules
 
 
 def test_a_stream_goes_on_elsewhere_when_its_group_loses_a_vm() -> None:
@@ -130,6 +131,10 @@
 
     async def test() -> None:
         async with Installation.running(engines=9) as made:
+            # The route's timeout bounds every deadline; on a busy machine the
+            # stream takes about 4 s.
+            routes = make_rules(made.version, made.keys)["routes"]
+            made.configure(routes=[{**route, "timeout-ms": 8000} for route in routes])
             await eventually(lambda: len(made.heads("large")) >= 2)
             await made.settle()
             before = {one.id: len(one.runs) for one in made.heads("large")}
