--- a/src/zinniaspool/fleet/__init__.py
+++ b/src/zinniaspool/fleet/__init__.py
@@ -1,26 +1,26 @@
-"""How a process learns of the fleet: the store's copy and what it says."""
+"""How a process learns of the fleet: from the store and from its peers."""
 
-from zinniaspool.fleet.belief import FleetBelief
-from zinniaspool.fleet.duties import run_duty
-from zinniaspool.fleet.follower import FleetFollower, Place, make_place
-from zinniaspool.fleet.leases import KeptLease
-from zinniaspool.fleet.mesh import FleetMesh
+from zinniaspool.fleet.belief import FleetView
+from zinniaspool.fleet.duties import run_supervised
+from zinniaspool.fleet.follower import FleetFollower, ProcessLocation, make_location
+from zinniaspool.fleet.leases import RenewedLease
+from zinniaspool.fleet.mesh import PeerExchange
 from zinniaspool.fleet.settings import NodeSettings
-from zinniaspool.fleet.sight import HolderSight, boot_time
-from zinniaspool.fleet.spelling import FleetSpelling
+from zinniaspool.fleet.sight import HolderHeartbeat, read_boot_clock
+from zinniaspool.fleet.spelling import FleetCodec
 from zinniaspool.fleet.store import FleetStore
 
 __all__ = [
-    "Place",
-    "make_place",
-    "FleetBelief",
+    "ProcessLocation",
+    "make_location",
+    "FleetView",
     "FleetFollower",
-    "FleetMesh",
-    "FleetSpelling",
+    "PeerExchange",
+    "FleetCodec",
     "FleetStore",
-    "HolderSight",
-    "KeptLease",
+    "HolderHeartbeat",
+    "RenewedLease",
     "NodeSettings",
-    "boot_time",
-    "run_duty",
+    "read_boot_clock",
+    "run_supervised",
 ]
--- a/src/zinniaspool/fleet/belief.py
+++ b/src/zinniaspool/fleet/belief.py
@@ -1,4 +1,9 @@
-"""What a process believes of the fleet, decoded once from the store's copy."""
+"""A process's view of the fleet, decoded once from its mirror of the store.
+
+Each process mirrors the keys of the store that all processes share. The view
+decodes them into the configuration, the instances and the processes, and calls
+its listeners when any of these changes.
+"""
 
 from collections.abc import Callable, Collection, Mapping
 from typing import TypeVar
@@ -23,182 +28,201 @@
     has_restarted,
 )
 from zinniaspool.core.ids import ContentId, NodeId
-from zinniaspool.fleet.sight import boot_time
-from zinniaspool.fleet.spelling import FleetSpelling
+from zinniaspool.fleet.sight import read_boot_clock
+from zinniaspool.fleet.spelling import FleetCodec
 
-__all__ = ["FleetBelief"]
+__all__ = ["FleetView"]
 
 _log = structlog.get_logger(__name__)
 _T = TypeVar("_T")
 
-LOST_TRUST_S = 4.0
-"""For how long what a holder last told of lost instances is believed, in
-seconds. The entry of one that is gone lapses within that; one that lives would
-be left unused for good if its holder was lost before it took that back."""
+UNREACHABLE_TTL_S = 4.0
+"""For how long the holder's last list of unreachable instances is used, in
+seconds. The record of an instance that has ended lapses within this time. A
+list without an expiry would exclude a live instance for good if the holder
+failed before it withdrew the report."""
 
-_NEVER_S = -1e6
-"""When what is believed was last confirmed, before it ever was: long ago."""
+_NEVER_CONFIRMED_S = -1e6
+"""Time of the last confirmation while there is none yet: far in the past."""
 
-MOST_BIRTHS = 4096
-"""Instances whose newest start is remembered, also after their entries are
-gone: several times those of the largest fleet planned for."""
+MAX_KNOWN_INCARNATIONS = 4096
+"""Instances whose newest start time is remembered, also after their records
+are removed: several times those of the largest fleet that is planned for."""
 
 
-class FleetBelief:
-    """Rules, instances and nodes as the store's copy has them.
+class FleetView:
+    """Configuration, instances and processes, as the mirrored store has them.
 
     Args:
-        spelling: Reads what others write.
-        reads_instances: Whether instances are decoded as they come. A process
-            that only passes the copy on has no use for them, and there are
-            more of them, and more changes, than of all else.
+        codec: Decodes records that instances and operators write.
+        decodes_instances: Whether instance records are decoded as they
+            arrive. A process that only relays the mirror doesn't need them,
+            and there are more of them, and more changes to them, than of
+            everything else together.
 
     Attributes:
-        mirror: The store's copy.
-        catalog: The rules in force; None until they are known.
-        book: All instances.
+        mirror: The local copy of the store.
+        catalog: The active configuration; None until it is known.
+        instance_table: All instances.
         nodes: Entry processes, by VM.
-        holder: Who plans groups.
-        held: Contents that are recorded as sent to no upstream.
-        confirmed_at_boot: When the store last answered this process itself,
-            on the clock that counts standstills.
-        lost: Instances that the holder takes for lost. It finds out seconds
-            before their entries lapse; without its word each process would
-            send requests there until it has noticed by itself.
+        holder: The process that plans groups.
+        on_catalog: Called after the configuration's key changed.
+        on_instances: Called after instances or their reachability changed.
+        on_nodes: Called after an entry process or the holder changed.
+        on_change: Called after any change.
+        quarantined: Contents that are recorded as sent to no upstream.
+        on_quarantine: Called with the contents that were added to and removed
+            from the quarantine.
+        store_confirmed_at: When the store last answered this process itself,
+            on the clock that goes on while the VM is suspended.
+        unreachable: Instances that the holder reports as unreachable. It
+            notices seconds before their records lapse; without its report
+            each process would send requests there until it notices by itself.
     """
 
-    def __init__(
-        self, spelling: FleetSpelling, *, reads_instances: bool = True
-    ) -> None:
-        self._spelling = spelling
-        self._reads_instances = reads_instances
-        self.mirror = StoreMirror(self._lapses)
+    def __init__(self, codec: FleetCodec, *, decodes_instances: bool = True) -> None:
+        self._codec = codec
+        self._decodes_instances = decodes_instances
+        self.mirror = StoreMirror(self._is_ephemeral)
         self.catalog: Catalog | None = None
-        self.book = InstanceTable()
+        self.instance_table = InstanceTable()
         self.nodes: dict[NodeId, NodeRecord] = {}
         self.holder: HolderRecord | None = None
         self.on_catalog: list[Callable[[], None]] = []
         self.on_instances: list[Callable[[], None]] = []
         self.on_nodes: list[Callable[[], None]] = []
         self.on_change: list[Callable[[], None]] = []
-        self.held: frozenset[ContentId] = frozenset()
-        self.on_held: list[
+        self.quarantined: frozenset[ContentId] = frozenset()
+        self.on_quarantine: list[
             Callable[[frozenset[ContentId], frozenset[ContentId]], None]
         ] = []
-        self.confirmed_at_boot = _NEVER_S
-        self.lost: frozenset[InstanceId] = frozenset()
-        self._lost_told_at = _NEVER_S
-        self._confirmed = _NEVER_S
-        self._births: dict[InstanceId, int] = {}
-        self._refused: dict[InstanceId, str] = {}
+        self.store_confirmed_at = _NEVER_CONFIRMED_S
+        self.unreachable: frozenset[InstanceId] = frozenset()
+        self._unreachable_reported_at = _NEVER_CONFIRMED_S
+        self._confirmed_at = _NEVER_CONFIRMED_S
+        self._newest_starts: dict[InstanceId, int] = {}
+        self._rejection_reasons: dict[InstanceId, str] = {}
 
     @property
     def instances(self) -> Mapping[InstanceId, Instance]:
         """All instances by their ids."""
-        return self.book.by_id
-
-    def read_instances(self) -> None:
-        """Decode all instances now, and from now on as they come."""
-        self._reads_instances = True
-        for item in self.mirror.list_by_prefix(self._spelling.entries_prefix):
-            self._take_entry(MirrorChange(item.key, None, item))
-
-    def ignore_instances(self) -> None:
-        """Decode no instances from now on, and forget those that are known."""
-        self._reads_instances = False
-        for one in list(self.instances):
-            self.book.remove(one)
-
-    def confirm(self, at: float) -> None:
-        """Note that all that is believed was so at a time, in seconds."""
-        self._confirmed = max(self._confirmed, at)
-
-    def confirm_by_store(self, at: float) -> None:
-        """Note that the store itself confirmed it, at a time in seconds."""
-        self.confirm(at)
-        self.confirmed_at_boot = boot_time()
-
-    def amend(self, instance: InstanceId, status: EngineStatus) -> None:
-        """Believe what an engine says of itself, where its entry is behind."""
-        key = self._spelling.entries_prefix + instance
+        return self.instance_table.by_id
+
+    def start_decoding_instances(self) -> None:
+        """Decode all instances now, and later changes as they arrive."""
+        self._decodes_instances = True
+        for item in self.mirror.list_by_prefix(self._codec.instances_prefix):
+            self._apply_instance(MirrorChange(item.key, None, item))
+
+    def stop_decoding_instances(self) -> None:
+        """Stop decoding instances and forget the known ones."""
+        self._decodes_instances = False
+        for instance in list(self.instances):
+            self.instance_table.remove(instance)
+
+    def record_confirmation(self, confirmed_at: float) -> None:
+        """Record that the whole view was up to date.
+
+        Args:
+            confirmed_at: When it was, in seconds.
+        """
+        self._confirmed_at = max(self._confirmed_at, confirmed_at)
+
+    def record_store_confirmation(self, confirmed_at: float) -> None:
+        """Record that the store itself confirmed the view.
+
+        Args:
+            confirmed_at: When it did, in seconds.
+        """
+        self.record_confirmation(confirmed_at)
+        self.store_confirmed_at = read_boot_clock()
+
+    def apply_status(self, instance: InstanceId, status: EngineStatus) -> None:
+        """Apply an engine's status report where its record is out of date."""
+        key = self._codec.instances_prefix + instance
         item, known = self.mirror.get(key), self.instances.get(instance)
         if item is None or known is None:
             return
         if self._is_outdated(instance, status.born):
             return
-        told = (status.membership, status.model, status.staged)
-        same = told == (known.membership, known.model, known.staged)
+        reported = (status.membership, status.model, status.staged)
+        same = reported == (known.membership, known.model, known.staged)
         if same and not has_restarted(known.started_at_ms, status.born):
             return
-        amended = self._spelling.amend_entry(item.value, status)
-        if isinstance(amended, Err):
-            _log.warning("entry-unreadable", key=key, reason=amended.err_value)
+        updated = self._codec.apply_status(item.value, status)
+        if isinstance(updated, Err):
+            _log.warning("entry-unreadable", key=key, reason=updated.err_value)
             return
-        self.take(self.mirror.amend(key, amended.ok_value))
+        self.apply_changes(self.mirror.amend(key, updated.ok_value))
 
-    def take_lost(self, lost: Collection[InstanceId], told_at: float) -> None:
-        """Believe which instances the holder takes for lost.
+    def update_unreachable(
+        self, unreachable: Collection[InstanceId], reported_at: float
+    ) -> None:
+        """Replace the list of unreachable instances, unless it is outdated.
 
         Args:
-            lost: All of them.
-            told_at: When it said so, in seconds.
+            unreachable: All instances that the holder reports as unreachable.
+            reported_at: When it reported them, in seconds.
         """
-        if told_at < self._lost_told_at:
+        if reported_at < self._unreachable_reported_at:
             return
-        self._lost_told_at = told_at
-        self._set_lost(frozenset(lost))
+        self._unreachable_reported_at = reported_at
+        self._set_unreachable(frozenset(unreachable))
 
-    def expire_lost(self, now: float) -> None:
-        """Forget what a holder said that has not been heard for long."""
-        if self.lost and now - self._lost_told_at > LOST_TRUST_S:
-            self._set_lost(frozenset())
+    def expire_unreachable(self, now: float) -> None:
+        """Discard the holder's list of unreachable instances if it is old."""
+        if self.unreachable and now - self._unreachable_reported_at > UNREACHABLE_TTL_S:
+            self._set_unreachable(frozenset())
 
-    def _set_lost(self, lost: frozenset[InstanceId]) -> None:
-        if lost == self.lost:
+    def _set_unreachable(self, unreachable: frozenset[InstanceId]) -> None:
+        if unreachable == self.unreachable:
             return
         _log.info(
             "instances-lost",
-            lost=",".join(sorted(lost - self.lost)),
-            back=",".join(sorted(self.lost - lost)),
+            lost=",".join(sorted(unreachable - self.unreachable)),
+            back=",".join(sorted(self.unreachable - unreachable)),
         )
-        self.lost = lost
+        self.unreachable = unreachable
         self.mirror.bump_serial()
-        self.book.set_unreachable(lost)
+        self.instance_table.set_unreachable(unreachable)
         for listener in (*self.on_instances, *self.on_change):
             listener()
 
-    def is_over(self, instance: InstanceId, born: int | None) -> bool:
-        """Tell whether the life of an instance that began then has ended."""
+    def has_ended(self, instance: InstanceId, started_at_ms: int | None) -> bool:
+        """Return whether an incarnation of an instance has ended.
+
+        It has if the instance is unknown or has started again since.
+        """
         known = self.instances.get(instance)
-        return known is None or has_restarted(born, known.started_at_ms)
+        return known is None or has_restarted(started_at_ms, known.started_at_ms)
 
-    def age(self, now: float) -> float:
-        """Return for how many seconds nothing has confirmed the belief."""
-        return now - self._confirmed
+    def compute_age_s(self, now: float) -> float:
+        """Return the seconds since the view was last confirmed."""
+        return now - self._confirmed_at
 
-    def take(self, changes: list[MirrorChange]) -> None:
-        """Take changes of the copy and tell who listens."""
+    def apply_changes(self, changes: list[MirrorChange]) -> None:
+        """Apply changes of the mirror to the view and call the listeners."""
         listeners: set[int] = set()
-        held = set(self.held)
+        quarantined = set(self.quarantined)
         for change in changes:
-            if change.key == self._spelling.rules_key:
-                self._take_rules(change)
+            if change.key == self._codec.rules_key:
+                self._apply_rules(change)
                 listeners.add(0)
-            elif change.key.startswith(self._spelling.entries_prefix):
-                if self._reads_instances:
-                    self._take_entry(change)
+            elif change.key.startswith(self._codec.instances_prefix):
+                if self._decodes_instances:
+                    self._apply_instance(change)
                     listeners.add(1)
             elif change.key.startswith(NODES_PREFIX):
-                self._take_node(change)
+                self._apply_node(change)
                 listeners.add(2)
             elif change.key.startswith(HELD_PREFIX):
                 content = ContentId(change.key.removeprefix(HELD_PREFIX))
                 if change.after is None:
-                    held.discard(content)
+                    quarantined.discard(content)
                 else:
-                    held.add(content)
+                    quarantined.add(content)
             elif change.key == HOLDER_KEY:
-                self._take_holder(change)
+                self._apply_holder(change)
                 listeners.add(2)
         for number, group in enumerate(
             (self.on_catalog, self.on_instances, self.on_nodes)
@@ -206,32 +230,32 @@
             if number in listeners:
                 for listener in group:
                     listener()
-        self._set_held(frozenset(held))
+        self._set_quarantined(frozenset(quarantined))
         if changes:
             for listener in self.on_change:
                 listener()
 
-    def _set_held(self, held: frozenset[ContentId]) -> None:
-        before, self.held = self.held, held
-        if held == before:
+    def _set_quarantined(self, quarantined: frozenset[ContentId]) -> None:
+        before, self.quarantined = self.quarantined, quarantined
+        if quarantined == before:
             return
-        for listener in self.on_held:
-            listener(held - before, before - held)
+        for listener in self.on_quarantine:
+            listener(quarantined - before, before - quarantined)
 
-    def _take_rules(self, change: MirrorChange) -> None:
+    def _apply_rules(self, change: MirrorChange) -> None:
         if change.after is None:
             return
-        read = self._spelling.read_rules(change.after.value)
-        if isinstance(read, Err):
-            # The store takes valid configurations only; the rules in force
-            # stay until one can be read.
+        decoded = self._codec.decode_rules(change.after.value)
+        if isinstance(decoded, Err):
+            # Only valid configurations are written to the store; the active
+            # one stays in effect until a new one can be decoded.
             _log.error(
                 "configuration-unreadable",
                 revision=change.after.revision,
-                reason=read.err_value,
+                reason=decoded.err_value,
             )
             return
-        catalog = read.ok_value
+        catalog = decoded.ok_value
         if self.catalog is not None and catalog.version < self.catalog.version:
             return
         self.catalog = catalog
@@ -241,65 +265,73 @@
             revision=change.after.revision,
         )
 
-    def _take_entry(self, change: MirrorChange) -> None:
-        instance = InstanceId(change.key.removeprefix(self._spelling.entries_prefix))
+    def _apply_instance(self, change: MirrorChange) -> None:
+        instance = InstanceId(change.key.removeprefix(self._codec.instances_prefix))
         if change.after is None:
-            self._refused.pop(instance, None)
-            self._drop(instance)
+            self._rejection_reasons.pop(instance, None)
+            self._remove_instance(instance)
             return
-        read = self._spelling.read_entry(change.key, change.after.value)
-        if isinstance(read, Err):
-            self._refuse_entry(instance, change.key, read.err_value)
+        decoded = self._codec.decode_instance(change.key, change.after.value)
+        if isinstance(decoded, Err):
+            self._reject_record(instance, change.key, decoded.err_value)
             return
-        found = read.ok_value
-        if self._is_outdated(instance, found.started_at_ms):
-            self._refuse_entry(instance, change.key, "of an earlier life", keep=True)
+        record = decoded.ok_value
+        if self._is_outdated(instance, record.started_at_ms):
+            self._reject_record(
+                instance, change.key, "written by an earlier incarnation", keep=True
+            )
             return
-        self._refused.pop(instance, None)
-        self._note_birth(instance, found.started_at_ms)
+        self._rejection_reasons.pop(instance, None)
+        self._record_start(instance, record.started_at_ms)
         before = self.instances.get(instance)
-        self.book.put(found)
-        if before is not None and before.state is not found.state:
-            _log.info("instance-state", instance=instance, state=found.state.value)
+        self.instance_table.put(record)
+        if before is not None and before.state is not record.state:
+            _log.info("instance-state", instance=instance, state=record.state.value)
 
-    def _refuse_entry(
+    def _reject_record(
         self, instance: InstanceId, key: str, reason: str, *, keep: bool = False
     ) -> None:
-        """Take that an entry names no instance to use; the others hold.
+        """Reject a record; the records of other instances stay in use.
 
-        Whoever writes it may do so many times a second: it is logged anew only
-        for another reason.
+        The record may be written many times a second, so a rejection is logged
+        again only if its reason changes.
+
+        Args:
+            instance: The instance that the key names.
+            key: The record's key.
+            reason: Why the record is rejected.
+            keep: Whether the known state of the instance stays in use.
         """
-        if self._refused.get(instance) != reason:
-            self._refused[instance] = reason
+        if self._rejection_reasons.get(instance) != reason:
+            self._rejection_reasons[instance] = reason
             _log.warning("entry-unreadable", key=key, reason=reason)
         if not keep:
-            self._drop(instance)
+            self._remove_instance(instance)
 
-    def _drop(self, instance: InstanceId) -> None:
-        if self.book.remove(instance) is not None:
+    def _remove_instance(self, instance: InstanceId) -> None:
+        if self.instance_table.remove(instance) is not None:
             _log.info("instance-gone", instance=instance)
 
-    def _is_outdated(self, instance: InstanceId, born: int | None) -> bool:
-        """Tell whether something is of an earlier life than the newest known.
+    def _is_outdated(self, instance: InstanceId, started_at_ms: int | None) -> bool:
+        """Return whether data is of an earlier incarnation than the newest.
 
-        A write from before a restart can come in after it. Its group and its
-        model are held by nobody any more.
+        A write from before a restart can arrive after it. The instance is no
+        longer in that group and no longer has that model loaded.
         """
-        newest = self._births.get(instance)
-        return newest is not None and (born is None or born < newest)
+        newest = self._newest_starts.get(instance)
+        return newest is not None and (started_at_ms is None or started_at_ms < newest)
 
-    def _note_birth(self, instance: InstanceId, born: int | None) -> None:
-        if born is None:
+    def _record_start(self, instance: InstanceId, started_at_ms: int | None) -> None:
+        if started_at_ms is None:
             return
-        before = self._births.pop(instance, None)
-        self._births[instance] = born
-        if has_restarted(before, born):
-            _log.info("instance-reborn", instance=instance, born=born)
-        if len(self._births) > MOST_BIRTHS:
-            del self._births[next(iter(self._births))]
-
-    def _take_node(self, change: MirrorChange) -> None:
+        before = self._newest_starts.pop(instance, None)
+        self._newest_starts[instance] = started_at_ms
+        if has_restarted(before, started_at_ms):
+            _log.info("instance-reborn", instance=instance, born=started_at_ms)
+        if len(self._newest_starts) > MAX_KNOWN_INCARNATIONS:
+            del self._newest_starts[next(iter(self._newest_starts))]
+
+    def _apply_node(self, change: MirrorChange) -> None:
         node = NodeId(change.key.removeprefix(NODES_PREFIX))
         if change.after is None:
             self.nodes.pop(node, None)
@@ -308,10 +340,11 @@
         if record is not None:
             self.nodes[node] = record
 
-    def _lapses(self, key: str) -> bool:
-        return key.startswith((self._spelling.entries_prefix, NODES_PREFIX))
+    def _is_ephemeral(self, key: str) -> bool:
+        """Return whether a key lapses unless its owner renews a lease."""
+        return key.startswith((self._codec.instances_prefix, NODES_PREFIX))
 
-    def _take_holder(self, change: MirrorChange) -> None:
+    def _apply_holder(self, change: MirrorChange) -> None:
         value = None if change.after is None else change.after.value
         self.holder = None if value is None else _decode(value, HolderRecord)
         node = None if self.holder is None else self.holder.node
--- a/src/zinniaspool/fleet/follower.py
+++ b/src/zinniaspool/fleet/follower.py
@@ -1,4 +1,10 @@
-"""Keeps the copy of the store up to date, from the store or from a peer."""
+"""Keeps a process's mirror of the store up to date, from a peer or the store.
+
+If every process watched the store, the store would spend its allowance of
+calls on sending all of them the same changes. So the holder watches it, the
+other processes follow the holder, a relay or their VM's control process, and
+they turn to the store only when that source fails or falls behind.
+"""
 
 import asyncio
 import random
@@ -22,113 +28,118 @@
 from zinniaspool.core.ids import Address, FailureDomainId, NodeId, Revision
 from zinniaspool.core.messages.fleet import FleetUpdate, FleetWatch
 from zinniaspool.core.storage import StoreFault
-from zinniaspool.fleet.belief import FleetBelief
-from zinniaspool.fleet.mesh import FleetMesh, unpack_items
+from zinniaspool.fleet.belief import FleetView
+from zinniaspool.fleet.mesh import PeerExchange, unpack_items
 from zinniaspool.fleet.settings import NodeSettings
-from zinniaspool.fleet.sight import HolderSight
+from zinniaspool.fleet.sight import HolderHeartbeat
 from zinniaspool.fleet.store import FleetStore
 
-__all__ = ["FleetFollower", "Place", "make_place"]
+__all__ = ["FleetFollower", "ProcessLocation", "make_location"]
 
 _log = structlog.get_logger(__name__)
 
-WAIT_S = 0.5
-"""Longest wait of one watch, in seconds. A connection that went silent shows
-only when the answer is overdue, and a change must be known within two."""
+WATCH_WAIT_S = 0.5
+"""Longest wait of one watch of the store, in seconds. A connection that no
+longer responds is noticed only when the answer is overdue, and a change must
+be known within two seconds."""
 
-OVERDUE_S = 0.4
-"""How late a watch's answer may be before another is asked for on another
-connection, in seconds: a slow store takes half of that. Both times together
-stay below the age at which followers leave a copy: while the holder waited for
-1.4 s on a connection gone silent, the whole fleet went to the store."""
+WATCH_OVERDUE_S = 0.4
+"""How late a watch's answer may be before the watch is repeated on another
+connection, in seconds; a slow store takes half of that. Together with the wait
+it stays below the age at which followers give up a mirror: when the holder
+waited for 1.4 s on an unresponsive connection, the whole fleet turned to the
+store."""
 
 PEER_WAIT_S = 0.25
-"""Longest wait of a question to a peer, in seconds: one that was frozen or cut
-off shows by an answer overdue, well within the time for a change."""
-
-FRESH_S = 1.1
-"""Age up to which a peer's copy is followed, in seconds: somewhat over what a
-sound peer lets pass between two answers of the store."""
-
-GATHER_S = 0.05
-"""Pause between watches, in seconds: an instance that changes several times in
-a row then costs one call."""
-
-RETRY_S = 0.15
-"""First pause after a failed call, in seconds; it doubles up to the next."""
-
-MOST_RETRY_S = 0.6
-"""Longest pause: the store's return must be noticed well within the second
-that a change may take from there."""
-
-SHUN_S = 0.7
-"""For how long a peer that gave no fresh answer is not asked, in seconds."""
-
-
-MOST_SEEDS = 3
-"""Peers that are asked in a row: enough that one of them most likely reaches
-the store where only some VMs do not."""
-
-FIRST_START_S = 3.0
-"""For how long a process asks others for their copy when the whole system
-starts, in seconds: nobody is served yet, and a few processes tell a copy of
-some tens of kilobytes to all others."""
-
-OWN_ENTRY_S = 1.2
-"""For how long a control process waits for the copy of its VM's entry process
-when both start again, in seconds. That one starts first and reads the store
-for both: after a loss of power of all VMs, twice as many readings of some
+"""How long a peer may wait for a change before it answers, in seconds. A peer
+that is suspended or cut off is noticed by its overdue answer, well within the
+two seconds in which a change must be known."""
+
+MAX_PEER_AGE_S = 1.1
+"""Age up to which a peer's mirror is followed, in seconds: a little more than
+passes between two answers of the store to a healthy peer."""
+
+WATCH_PAUSE_S = 0.05
+"""Pause between watches, in seconds. Several changes of an instance in a row
+then cost one call."""
+
+MIN_RETRY_DELAY_S = 0.15
+"""First pause after a failed call, in seconds; it doubles up to the longest
+one."""
+
+MAX_RETRY_DELAY_S = 0.6
+"""Longest pause after a failed call, in seconds. The store's return must be
+noticed well within the second that a change may take from then on."""
+
+PEER_BACKOFF_S = 0.7
+"""For how long a peer that gave no fresh answer is avoided, in seconds."""
+
+MAX_SEEDS = 3
+"""Seeds that are tried in a row: enough that one of them most likely reaches
+the store when only some VMs can't."""
+
+FIRST_START_WAIT_S = 3.0
+"""For how long a process requests the mirror of others when the whole system
+starts, in seconds. No caller is served yet, and a few processes send a mirror
+of some tens of kilobytes to all others."""
+
+LOCAL_ENTRY_WAIT_S = 1.2
+"""For how long a control process waits for the mirror of its VM's entry
+process when both restart, in seconds. The entry process starts first and reads
+the store for both: after a power loss of all VMs, twice as many reads of about
 half a megabyte each would fill the store's link for seconds."""
 
-SOURCE_RETRY_S = 0.06
-"""Pause between two such questions, in seconds."""
+SOURCE_RETRY_DELAY_S = 0.06
+"""Pause between two requests for an initial mirror, in seconds."""
 
-REREAD_S = 0.6
-"""Longest pause before the store is read anew whose history was dropped, in
-seconds, where relays stand between: the one that is followed has read it by
-then for most."""
+MAX_REREAD_DELAY_S = 0.6
+"""Longest pause before a process behind a relay reads the whole store again,
+because the store dropped the history since its mirror, in seconds. For most
+processes, the one that they follow has read it by then."""
 
-OWN_HOP_S = 0.35
-"""How much older a copy may be that came by the VM's own control process, in
-seconds: the longest wait of one more question, and the way."""
+LOCAL_HOP_AGE_S = 0.35
+"""How much older a mirror may be when it comes through the VM's own control
+process, in seconds: the longest wait of one more request, and its transfer."""
 
-RELAY_HOP_S = 0.8
-"""The same for a relay: as long as the holder and the relays need to be served
-again after a second without the store. With the shorter time a fleet of 67 VMs
-asked the store all at once then, and read it whole."""
+RELAY_HOP_AGE_S = 0.8
+"""How much older a mirror may be when it comes through a relay, in seconds: as
+long as the store needs to serve the holder and the relays again after a second
+without it. With a shorter time, a fleet of 67 VMs turned to the store all at
+once and read all of it."""
 
-RELAY_GATHER_S = 0.1
-"""Pause after news before more is asked for, in seconds, where relays stand
-between: while many things change, each VM then takes ten answers a second and
-not one for each change. A change after a quiet moment is told at once."""
+RELAY_BATCH_PAUSE_S = 0.1
+"""Pause after an update before the next is requested, in seconds, in a fleet
+with relays. While many keys change, each VM then gets ten answers a second and
+not one for each change. A change after a period without any is sent at once.
+"""
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ProcessLocation:
     """Where a process runs.
 
     Attributes:
         node: Its VM.
-        domain: That VM's failure domain.
+        failure_domain: That VM's failure domain.
         first_start: Whether the whole system starts for the first time.
-        own_entry: Where the VM's entry process tells others of the fleet.
-        seeds: Control processes of other VMs that may be reached at the start.
+        local_entry: Where the VM's entry process answers requests of peers.
+        seeds: Control processes of other VMs, as a first contact at the start.
     """
 
     node: NodeId
-    domain: FailureDomainId
+    failure_domain: FailureDomainId
     first_start: bool = False
-    own_entry: Address | None = None
+    local_entry: Address | None = None
     seeds: tuple[Address, ...] = ()
 
-    def list_own_entry(self) -> tuple[Address, ...]:
-        """Return where the VM's entry process is, if there is one."""
-        return () if self.own_entry is None else (self.own_entry,)
+    def list_local_entry(self) -> tuple[Address, ...]:
+        """Return the address of the VM's entry process, if there is one."""
+        return () if self.local_entry is None else (self.local_entry,)
 
 
-def make_place(node: NodeSettings) -> Place:
+def make_location(node: NodeSettings) -> ProcessLocation:
     """Return where a process with these settings runs."""
-    return Place(
+    return ProcessLocation(
         node.node,
         node.failure_domain,
         node.first_start,
@@ -138,8 +149,14 @@
 
 
 @dataclass(slots=True)
-class _Peer:
-    """What the last answer of the peer that is followed said."""
+class _Source:
+    """The peer that is followed, and how far its changes are known.
+
+    Attributes:
+        address: Where it listens.
+        source: The run of the peer's process that sent the last update.
+        serial: The last change of its mirror that the update contains.
+    """
 
     address: Address
     source: str = ""
@@ -147,273 +164,317 @@
 
 
 class FleetFollower:
-    """Follows the store, through the holder wherever it is up to date.
+    """Follows a peer on the way to the holder, or else the store itself.
 
     Args:
         store: The store.
-        belief: What is kept up to date.
-        mesh: Asks peers.
-        sight: When the holder was last heard.
-        is_holder: Tells whether this process is the one that others follow.
-        list_seeds: Returns peers to ask when neither store nor holder answer.
-        list_demands: Returns how much the models are asked for, here and at
-            all that follow this process.
-        place: Where this process runs.
-        own_control: This VM's control process, which is followed where there
-            is one: so only one process of a VM is told over the network. The
-            control process itself has none, and follows the holder or a relay.
+        view: The view of the fleet that is kept up to date.
+        exchange: Sends requests to peers.
+        heartbeat: Records the holder's heartbeats that peers pass on.
+        is_holder: Returns whether this process is the one that others follow.
+        list_seeds: Returns peers to try when neither the store nor the holder
+            answers.
+        list_demands: Returns the demand for models at this process and all its
+            followers.
+        location: Where this process runs.
+        local_control: This VM's control process, which an entry process
+            follows, so that only one process of each VM gets updates over the
+            network. It is None for the control process itself, which follows
+            the holder or a relay.
+
+    Attributes:
+        reachable: Whether the last source that was tried, a peer or the store,
+            gave an update.
     """
 
     def __init__(
         self,
         store: FleetStore,
-        belief: FleetBelief,
-        mesh: FleetMesh,
-        sight: HolderSight,
+        view: FleetView,
+        exchange: PeerExchange,
+        heartbeat: HolderHeartbeat,
         is_holder: Callable[[], bool],
         list_seeds: Callable[[], list[Address]],
         list_demands: Callable[[], list[ModelDemandReport]],
-        place: Place,
-        own_control: Address | None = None,
+        location: ProcessLocation,
+        local_control: Address | None = None,
     ) -> None:
         self.reachable = True
         self._store = store
-        self._belief = belief
-        self._mesh = mesh
-        self._sight = sight
+        self._view = view
+        self._exchange = exchange
+        self._heartbeat = heartbeat
         self._is_holder = is_holder
         self._list_seeds = list_seeds
         self._list_demands = list_demands
-        self._place = place
-        self._own_control = own_control
+        self._location = location
+        self._local_control = local_control
         self._relays: list[Address] | None = None
-        belief.on_nodes.append(self._forget_relays)
-        self._read = False
-        self._pause_s = RETRY_S
-        self._peer: _Peer | None = None
-        self._shunned: dict[Address, float] = {}
+        view.on_nodes.append(self._reset_relays)
+        self._mirror_complete = False
+        self._retry_delay_s = MIN_RETRY_DELAY_S
+        self._source: _Source | None = None
+        self._backoff_until: dict[Address, float] = {}
 
     async def run(self) -> None:
-        """Follow until cancelled."""
-        await self._begin_with_sources()
+        """Keep the view up to date until cancelled."""
+        await self._copy_initial_mirror()
         while True:
-            self._belief.expire_lost(self._now())
+            self._view.expire_unreachable(self._now())
             if await self._follow_peers():
-                self._belief.take(self._belief.mirror.apply_due_removals(self._now()))
+                self._view.apply_changes(
+                    self._view.mirror.apply_due_removals(self._now())
+                )
                 continue
-            done = await self._follow_store()
-            if not isinstance(done, Err):
-                await asyncio.sleep(RELAY_GATHER_S if self._has_relays else GATHER_S)
-            elif await self._ask_seeds():
-                await asyncio.sleep(RETRY_S)
+            result = await self._follow_store()
+            if not isinstance(result, Err):
+                await asyncio.sleep(
+                    RELAY_BATCH_PAUSE_S if self._uses_relays else WATCH_PAUSE_S
+                )
+            elif await self._follow_seeds():
+                await asyncio.sleep(MIN_RETRY_DELAY_S)
             else:
-                await asyncio.sleep(self._pause_s)
-
-    async def _begin_with_sources(self) -> None:
-        """Learn all from a process that reads the store in any case."""
-        place = self._place
-        if not place.first_start and self._own_control is not None:
-            # Callers wait for it. The others have long started, or start as
-            # well after a loss of power, and the store is there in any case.
-            if place.seeds:
-                await self._follow(random.choice(place.seeds), 0.0)
+                await asyncio.sleep(self._retry_delay_s)
+
+    async def _copy_initial_mirror(self) -> None:
+        """Copy the mirror of a process that reads the store in any case."""
+        location = self._location
+        if not location.first_start and self._local_control is not None:
+            # Callers wait for this entry process, so it tries one seed once.
+            # The other VMs have long started, or start at the same time after
+            # a power loss; the store is available in either case.
+            if location.seeds:
+                await self._follow(random.choice(location.seeds), 0.0)
             return
-        if place.first_start:
-            sources, wait_s = place.seeds, FIRST_START_S
+        if location.first_start:
+            sources, wait_s = location.seeds, FIRST_START_WAIT_S
         else:
-            sources, wait_s = place.list_own_entry(), OWN_ENTRY_S
-        if self._own_control is not None:
-            sources = (self._own_control,)
-        ends = self._now() + wait_s
-        while sources and self._now() < ends:
+            sources, wait_s = location.list_local_entry(), LOCAL_ENTRY_WAIT_S
+        if self._local_control is not None:
+            sources = (self._local_control,)
+        deadline = self._now() + wait_s
+        while sources and self._now() < deadline:
             if await self._follow(random.choice(sources), 0.0):
                 return
-            await asyncio.sleep(SOURCE_RETRY_S)
+            await asyncio.sleep(SOURCE_RETRY_DELAY_S)
 
     async def _follow_peers(self) -> bool:
-        """Take news of the peer that is followed; False where it has none.
+        """Follow the best peer that is not avoided.
 
-        While one is waited for in vain, a change may be missed, and the store
-        tells it at once; so a second peer is not tried before the store is.
+        A change may be missed while a peer does not answer, and the store
+        reports it at once; so the store is tried before a second peer.
+
+        Returns:
+            Whether the peer gave an update that is fresh.
         """
-        if self._is_holder() or not self._belief.mirror.is_loaded:
+        if self._is_holder() or not self._view.mirror.is_loaded:
             return False
         now = self._now()
-        for address in self._list_leads():
-            if self._shunned.get(address, 0.0) <= now:
-                return await self._follow(address, PEER_WAIT_S, leads=True)
+        for address in self._list_sources():
+            if self._backoff_until.get(address, 0.0) <= now:
+                return await self._follow(address, PEER_WAIT_S, toward_holder=True)
         return False
 
-    def _list_leads(self) -> list[Address]:
-        """Return whom this process may follow, best first."""
-        if self._own_control is not None:
-            return [self._own_control]
-        holder = self._belief.holder
+    def _list_sources(self) -> list[Address]:
+        """Return the peers that this process may follow, best first."""
+        if self._local_control is not None:
+            return [self._local_control]
+        holder = self._view.holder
         if holder is None:
             return []
         return [*self._find_relays(holder), holder.peer_address]
 
     def _find_relays(self, holder: HolderRecord) -> list[Address]:
         if self._relays is None:
-            place, nodes = self._place, self._belief.nodes
+            location, nodes = self._location, self._view.nodes
             domains = {
-                one.node: one.failure_domain
-                for one in nodes.values()
-                if one.control_address and one.state is NodeState.READY
+                record.node: record.failure_domain
+                for record in nodes.values()
+                if record.control_address and record.state is NodeState.READY
             }
-            domains[place.node] = place.domain
-            chosen = choose_relays(place.node, holder.node, domains)
+            domains[location.node] = location.failure_domain
+            chosen = choose_relays(location.node, holder.node, domains)
             self._relays = [nodes[name].control_address for name in chosen]
         return self._relays
 
-    def _forget_relays(self) -> None:
+    def _reset_relays(self) -> None:
         self._relays = None
 
     @property
-    def _has_relays(self) -> bool:
-        """Whether the fleet is so large that relays stand between."""
-        return len(self._belief.nodes) > FANOUT
+    def _uses_relays(self) -> bool:
+        """Whether the fleet is so large that most VMs follow relays."""
+        return len(self._view.nodes) > FANOUT
 
     @property
-    def _fresh_s(self) -> float:
-        """Age up to which a peer's copy is followed, in seconds.
-
-        More for each process between this one and the holder. When the
-        holder's own connection to the store has gone silent, the copies of
-        all age together; those who follow it directly then ask the store, and
-        the others have their news before it is their turn. The store would
-        have to tell the whole fleet otherwise.
+    def _max_age_s(self) -> float:
+        """Age up to which a peer's mirror is followed, in seconds.
+
+        It grows with each process between this one and the holder. When the
+        holder's own connection to the store stops responding, all mirrors age
+        together. The processes that follow the holder directly then turn to
+        the store first, and the others get its changes from them before they
+        reach their own limit. With one limit for all, the store would have to
+        send the changes to the whole fleet.
         """
-        holder = self._belief.holder
-        fresh_s = FRESH_S
+        holder = self._view.holder
+        max_age_s = MAX_PEER_AGE_S
         if holder is not None and self._find_relays(holder):
-            fresh_s += RELAY_HOP_S
-        if self._own_control is not None:
-            fresh_s += OWN_HOP_S
-        return fresh_s
+            max_age_s += RELAY_HOP_AGE_S
+        if self._local_control is not None:
+            max_age_s += LOCAL_HOP_AGE_S
+        return max_age_s
 
-    def _accepts(self, news: FleetUpdate) -> bool:
-        """Tell whether a peer's news are to be followed.
+    def _accepts(self, update: FleetUpdate) -> bool:
+        """Return whether a peer's update is fresh enough to be applied.
 
-        While the store is down for all, the holder's copy is as old as any,
-        but the holder alone knows what it has changed since.
+        While no process reaches the store, the holder's mirror is as old as
+        any other, but only the holder knows what it has changed since.
         """
-        if not news.as_of:
+        if not update.as_of:
             return False
-        holder = self._belief.holder
-        led = holder is not None and news.leader == holder.start
-        if led and news.provisional and news.leader_age_s <= self._fresh_s:
+        holder = self._view.holder
+        is_from_term = holder is not None and update.leader == holder.start
+        if (
+            is_from_term
+            and update.provisional
+            and update.leader_age_s <= self._max_age_s
+        ):
             return True
-        # A process that knows nothing serves nobody: an old copy is better.
-        return news.age_s <= self._fresh_s or not self._belief.mirror.is_loaded
+        # A process without a mirror serves no caller, so an old one is better
+        # than none.
+        return update.age_s <= self._max_age_s or not self._view.mirror.is_loaded
 
-    # From peers.
+    # Updates from peers.
 
     async def _follow(
-        self, address: Address, wait_s: float = PEER_WAIT_S, *, leads: bool = False
+        self,
+        address: Address,
+        wait_s: float = PEER_WAIT_S,
+        *,
+        toward_holder: bool = False,
     ) -> bool:
-        """Take news of a peer; False where it has none that is fresh.
+        """Request an update of a peer and apply it if it is fresh.
 
         Args:
-            address: Where it listens.
-            wait_s: For how long it may wait for news, in seconds.
-            leads: Whether it is on the way to the holder. Only there demand
-                is told, lest it be counted twice.
+            address: Where the peer listens.
+            wait_s: For how long the peer may wait for a change, in seconds.
+            toward_holder: Whether the peer is on the way to the holder. Demand
+                is sent only there, since it would be counted twice otherwise.
+
+        Returns:
+            Whether the update was fresh and could be applied.
         """
-        peer = self._peer
+        peer = self._source
         if peer is None or peer.address != address:
-            peer = self._peer = _Peer(address)
-        as_of = self._belief.mirror.as_of
-        demands = self._list_demands() if leads else []
-        news = await self._mesh.ask(
+            peer = self._source = _Source(address)
+        as_of = self._view.mirror.as_of
+        demands = self._list_demands() if toward_holder else []
+        update = await self._exchange.request_update(
             address, FleetWatch(peer.source, peer.serial, as_of, wait_s, demands)
         )
-        if news is None:
-            self._note_unanswered(address)
-        if news is not None and not news.source and news.as_of:
-            news = await self._close_gap(address, news)
-        if news is None or not self._accepts(news):
-            self._shun(address, news)
+        if update is None:
+            self._mark_unresponsive(address)
+        if update is not None and not update.source and update.as_of:
+            update = await self._close_gap(address, update)
+        if update is None or not self._accepts(update):
+            self._back_off(address, update)
             return False
-        self._shunned.pop(address, None)
-        peer.source, peer.serial = news.source, news.serial
+        self._backoff_until.pop(address, None)
+        peer.source, peer.serial = update.source, update.serial
         try:
-            self._take_news(news)
+            self._apply_update(update)
         except (zlib.error, msgspec.MsgspecError) as error:
             _log.error("news-unreadable", address=address, reason=str(error))
             return False
-        holder = self._belief.holder
-        if holder is not None and news.leader == holder.start:
-            self._sight.hear(holder, news.leader_age_s, provisional=news.provisional)
-            self._belief.take_lost(news.lost, self._now() - news.leader_age_s)
+        holder = self._view.holder
+        if holder is not None and update.leader == holder.start:
+            self._heartbeat.record(
+                holder, update.leader_age_s, provisional=update.provisional
+            )
+            self._view.update_unreachable(
+                update.lost, self._now() - update.leader_age_s
+            )
         self.reachable = True
-        if leads and news.items and self._own_control is None and self._has_relays:
-            await asyncio.sleep(RELAY_GATHER_S)
+        if (
+            toward_holder
+            and update.items
+            and self._local_control is None
+            and self._uses_relays
+        ):
+            await asyncio.sleep(RELAY_BATCH_PAUSE_S)
         return True
 
-    def _shun(self, address: Address, news: FleetUpdate | None) -> None:
-        if address not in self._shunned:
+    def _back_off(self, address: Address, update: FleetUpdate | None) -> None:
+        if address not in self._backoff_until:
             _log.info(
                 "peer-stale",
                 address=address,
-                age_ms=-1 if news is None else int(news.age_s * 1000),
-                leader_ms=-1 if news is None else int(news.leader_age_s * 1000),
+                age_ms=-1 if update is None else int(update.age_s * 1000),
+                leader_ms=-1 if update is None else int(update.leader_age_s * 1000),
             )
-        self._shunned[address] = self._now() + SHUN_S
+        self._backoff_until[address] = self._now() + PEER_BACKOFF_S
 
-    def _note_unanswered(self, address: Address) -> None:
-        holder = self._belief.holder
+    def _mark_unresponsive(self, address: Address) -> None:
+        holder = self._view.holder
         if holder is not None and address == holder.peer_address:
-            self._sight.note_unanswered(holder)
+            self._heartbeat.mark_unresponsive(holder)
 
     async def _close_gap(
-        self, address: Address, news: FleetUpdate
+        self, address: Address, update: FleetUpdate
     ) -> FleetUpdate | None:
-        """Learn what a peer cannot tell: changes before it knew the store.
+        """Get the changes that a peer lacks, from before its mirror began.
 
-        The store tells it in one call; where it does not answer, the peer's
-        whole copy is asked for.
+        The store returns them in one call. If it does not answer, the peer's
+        whole mirror is requested.
         """
-        if self._read and not isinstance(await self._follow_store(), Err):
-            return await self._mesh.ask(
-                address, FleetWatch("", 0, self._belief.mirror.as_of, 0.0)
+        if self._mirror_complete and not isinstance(await self._follow_store(), Err):
+            return await self._exchange.request_update(
+                address, FleetWatch("", 0, self._view.mirror.as_of, 0.0)
             )
         if (
-            news.as_of <= self._belief.mirror.as_of
-            and news.leader_age_s > self._fresh_s
+            update.as_of <= self._view.mirror.as_of
+            and update.leader_age_s > self._max_age_s
         ):
             return None
-        return await self._mesh.ask(address, FleetWatch("", 0, Revision(0), 0.0))
+        return await self._exchange.request_update(
+            address, FleetWatch("", 0, Revision(0), 0.0)
+        )
 
-    def _take_news(self, news: FleetUpdate) -> None:
-        mirror, now = self._belief.mirror, self._now()
-        told = unpack_items(news.items)
-        if news.whole:
+    def _apply_update(self, update: FleetUpdate) -> None:
+        mirror, now = self._view.mirror, self._now()
+        received = unpack_items(update.items)
+        if update.whole:
             items = [
-                StoredItem(one.key, one.value, one.revision)
-                for one in told
-                if one.value is not None
+                StoredItem(item.key, item.value, item.revision)
+                for item in received
+                if item.value is not None
             ]
-            changes = mirror.replace(items, news.as_of, now, amended=True)
-            # Complete up to its revision, so that the store need only be
-            # asked for what came after it.
-            self._read = True
+            changes = mirror.replace(items, update.as_of, now, amended=True)
+            # The mirror is now complete up to the update's revision, so the
+            # store is only queried for later changes.
+            self._mirror_complete = True
         else:
-            events = [MirrorEvent(one.key, one.value, one.revision) for one in told]
-            changes = mirror.apply(events, news.as_of, now, amended=True)
-        self._belief.confirm(now - news.age_s)
-        self._belief.take(changes)
+            events = [
+                MirrorEvent(item.key, item.value, item.revision) for item in received
+            ]
+            changes = mirror.apply(events, update.as_of, now, amended=True)
+        self._view.record_confirmation(now - update.age_s)
+        self._view.apply_changes(changes)
 
-    async def _ask_seeds(self) -> bool:
-        """Ask peers, when neither the store nor the holder answers.
+    async def _follow_seeds(self) -> bool:
+        """Request updates of the holder and of seeds while the store fails.
 
         Returns:
-            Whether one of them had news that are fresh.
+            Whether one of them gave an update that is fresh.
         """
         now = self._now()
-        seeds = [one for one in self._list_seeds() if self._shunned.get(one, 0) <= now]
-        chosen = random.sample(seeds, min(len(seeds), MOST_SEEDS))
-        holder = self._belief.holder
+        seeds = [
+            address
+            for address in self._list_seeds()
+            if self._backoff_until.get(address, 0) <= now
+        ]
+        chosen = random.sample(seeds, min(len(seeds), MAX_SEEDS))
+        holder = self._view.holder
         if holder is not None and not self._is_holder():
             chosen.insert(0, holder.peer_address)
         for seed in chosen:
@@ -421,65 +482,68 @@
                 return True
         return False
 
-    # From the store.
+    # Updates from the store.
 
     async def _follow_store(self) -> Result[None, StoreFault]:
-        self._peer = None
-        done = await (self._watch() if self._read else self._read_all())
-        self._settle(done)
-        return done
+        self._source = None
+        result = await (self._watch() if self._mirror_complete else self._read_all())
+        self._record_result(result)
+        return result
 
     async def _read_all(self) -> Result[None, StoreFault]:
         reading = await self._store.read("")
         if isinstance(reading, Err):
             return reading
-        self._read = True
-        found = reading.ok_value
-        changes = self._belief.mirror.replace(found.items, found.as_of, self._now())
-        self._belief.take(changes)
+        self._mirror_complete = True
+        contents = reading.ok_value
+        changes = self._view.mirror.replace(contents.items, contents.as_of, self._now())
+        self._view.apply_changes(changes)
         return Ok(None)
 
     async def _watch(self) -> Result[None, StoreFault]:
-        mirror = self._belief.mirror
-        seen = await self._store.watch("", mirror.as_of, WAIT_S, OVERDUE_S)
-        if isinstance(seen, Err) and seen.err_value is StoreFault.UNKNOWN:
-            # One connection that went silent is no outage: the removals that
-            # come next are to be believed.
-            seen = await self._store.watch("", mirror.as_of, 0.0, OVERDUE_S)
-        if isinstance(seen, Err):
-            return seen
-        batch = seen.ok_value
+        mirror = self._view.mirror
+        watched = await self._store.watch(
+            "", mirror.as_of, WATCH_WAIT_S, WATCH_OVERDUE_S
+        )
+        if isinstance(watched, Err) and watched.err_value is StoreFault.UNKNOWN:
+            # One connection that stopped responding is not an outage of the
+            # store: the removals that come next are not deferred.
+            watched = await self._store.watch("", mirror.as_of, 0.0, WATCH_OVERDUE_S)
+        if isinstance(watched, Err):
+            return watched
+        batch = watched.ok_value
         if not batch.complete:
-            # The history between is gone: only a whole reading tells.
-            # The one that is followed reads it for all; each reading for
-            # itself would be the whole fleet's entries for every VM.
+            # The store dropped the history since the mirror's revision, so all
+            # keys must be read again. The process that is followed reads them
+            # for its followers; if each VM did so itself, the store would send
+            # the records of the whole fleet to every VM.
             _log.info("history-dropped", as_of=mirror.as_of)
-            self._read = False
-            if self._has_relays and not self._is_holder():
-                await asyncio.sleep(random.uniform(0.0, REREAD_S))
-                self._shunned.clear()
+            self._mirror_complete = False
+            if self._uses_relays and not self._is_holder():
+                await asyncio.sleep(random.uniform(0.0, MAX_REREAD_DELAY_S))
+                self._backoff_until.clear()
             return Ok(None)
-        self._belief.take(mirror.apply(batch.events, batch.as_of, self._now()))
+        self._view.apply_changes(mirror.apply(batch.events, batch.as_of, self._now()))
         return Ok(None)
 
-    def _settle(self, done: Result[None, StoreFault]) -> None:
+    def _record_result(self, result: Result[None, StoreFault]) -> None:
         now = self._now()
-        mirror = self._belief.mirror
-        if isinstance(done, Err):
+        mirror = self._view.mirror
+        if isinstance(result, Err):
             mirror.mark_outage(now)
             if self.reachable:
-                _log.warning("store-lost", fault=done.err_value.value)
+                _log.warning("store-lost", fault=result.err_value.value)
             self.reachable = False
-            longest = min(MOST_RETRY_S, self._pause_s * 2)
-            self._pause_s = longest * random.uniform(0.7, 1.0)
+            delay_s = min(MAX_RETRY_DELAY_S, self._retry_delay_s * 2)
+            self._retry_delay_s = delay_s * random.uniform(0.7, 1.0)
             return
         if not self.reachable:
             _log.info("store-regained", as_of=mirror.as_of)
         self.reachable = True
-        self._pause_s = RETRY_S
-        if self._read:
-            self._belief.confirm_by_store(now)
-        self._belief.take(mirror.apply_due_removals(now))
+        self._retry_delay_s = MIN_RETRY_DELAY_S
+        if self._mirror_complete:
+            self._view.record_store_confirmation(now)
+        self._view.apply_changes(mirror.apply_due_removals(now))
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/src/zinniaspool/fleet/leases.py
+++ b/src/zinniaspool/fleet/leases.py
@@ -1,4 +1,4 @@
-"""A lease that a process keeps, and how long it may trust it."""
+"""A store lease that a process renews, and for how long it can trust it."""
 
 import asyncio
 
@@ -6,87 +6,94 @@
 from result import Err
 
 from zinniaspool.core.storage import LeaseNumber, StoreFault
-from zinniaspool.fleet.sight import boot_time
+from zinniaspool.fleet.sight import read_boot_clock
 from zinniaspool.fleet.store import FleetStore
 
-__all__ = ["KeptLease"]
+__all__ = ["RenewedLease"]
 
 _log = structlog.get_logger(__name__)
 
 RENEW_PART = 0.3
-"""Part of a lease's time after which it is renewed, so that two renewals may
-be lost."""
+"""Share of a lease's lifetime after which it is renewed, so that two renewals
+may be lost."""
 
-RETRY_S = 1.0
-"""Pause after a renewal that failed, in seconds: once the store is back, what
-is written under the lease must be there again before others take it for gone.
+RETRY_DELAY_S = 1.0
+"""Pause after a failed renewal, in seconds. Once the store is back, the keys
+written under the lease must be there again before other processes treat them
+as removed.
 """
 
 TRUST_PART = 0.75
-"""Part of its time for which a lease is trusted after the last renewal left.
-The store may measure a little faster, and an order needs time to arrive."""
+"""Share of its lifetime for which a lease is trusted after the last renewal
+was sent. The store's clock may run a little faster, and an order to an engine
+needs time to arrive."""
 
 
-class KeptLease:
-    """One lease at a time, renewed while it is wanted.
+class RenewedLease:
+    """One lease at a time, renewed while it is needed.
 
-    The time that a VM stands still counts: a process that was frozen wakes
-    up with a clock on which no time has passed, and would believe that it
-    still holds what others have taken over. So trust is measured on the
-    clock that goes on meanwhile.
+    Time during which the VM is suspended counts. On a clock that stops
+    meanwhile, a process that resumes would assume that it still holds what
+    other processes have taken over. So trust is measured on a clock that goes
+    on.
 
     Args:
-        store: Grants and renews.
-        ttl_s: How long it lasts without a renewal.
+        store: Grants and renews the lease.
+        ttl_s: The lease's lifetime without a renewal, in seconds.
+
+    Attributes:
+        lease_number: The current lease; None while there is none.
     """
 
     def __init__(self, store: FleetStore, ttl_s: float) -> None:
-        self.number: LeaseNumber | None = None
+        self.lease_number: LeaseNumber | None = None
         self._store = store
         self._ttl_s = ttl_s
         self._trusted_until = 0.0
-        self._kept = True
+        self._last_succeeded = True
 
     @property
     def trusted(self) -> bool:
-        """Whether the lease certainly lasts now."""
-        return self.number is not None and boot_time() < self._trusted_until
+        """Whether the lease is certain to be valid now."""
+        return self.lease_number is not None and read_boot_clock() < self._trusted_until
 
-    async def keep(self) -> bool:
-        """Renew the lease, or get a new one; False where neither worked.
+    async def renew_or_replace(self) -> bool:
+        """Renew the lease, or get a new one; return False if both failed.
 
-        A lease that was lost is replaced: what was written under it is gone,
-        which ``number`` shows by its change.
+        A lease that has ended is replaced. The store has then removed the keys
+        that were written under it, which shows by the new ``lease_number``.
         """
-        self._kept = await self._renew_or_grant()
-        return self._kept
+        self._last_succeeded = await self._renew_or_grant()
+        return self._last_succeeded
 
     async def _renew_or_grant(self) -> bool:
-        asked = boot_time()
-        if self.number is not None:
-            renewed = await self._store.renew(self.number)
+        requested_at = read_boot_clock()
+        if self.lease_number is not None:
+            renewed = await self._store.renew(self.lease_number)
             if not isinstance(renewed, Err):
-                self._trusted_until = asked + self._ttl_s * TRUST_PART
+                self._trusted_until = requested_at + self._ttl_s * TRUST_PART
                 return True
             if renewed.err_value is not StoreFault.NO_LEASE:
                 return False
-            _log.warning("lease-lost", lease=self.number)
-            self.number = None
-        asked = boot_time()
+            _log.warning("lease-lost", lease=self.lease_number)
+            self.lease_number = None
+        requested_at = read_boot_clock()
         granted = await self._store.grant(self._ttl_s)
         if isinstance(granted, Err):
             return False
-        self.number = granted.ok_value
-        self._trusted_until = asked + self._ttl_s * TRUST_PART
+        self.lease_number = granted.ok_value
+        self._trusted_until = requested_at + self._ttl_s * TRUST_PART
         return True
 
-    async def pause(self) -> None:
+    async def wait_until_due(self) -> None:
         """Wait until the next renewal is due."""
         pause_s = self._ttl_s * RENEW_PART
-        await asyncio.sleep(pause_s if self._kept else min(pause_s, RETRY_S))
+        await asyncio.sleep(
+            pause_s if self._last_succeeded else min(pause_s, RETRY_DELAY_S)
+        )
 
-    async def end(self) -> None:
-        """Give the lease back, and all keys with it."""
-        number, self.number = self.number, None
+    async def release(self) -> None:
+        """End the lease, which removes all keys written under it."""
+        number, self.lease_number = self.lease_number, None
         if number is not None:
             await self._store.end_lease(number)
--- a/src/zinniaspool/fleet/mesh.py
+++ b/src/zinniaspool/fleet/mesh.py
@@ -1,9 +1,9 @@
-"""Processes tell each other what the store told one of them.
+"""Exchange of the store's changes and of status between processes.
 
-One process, the holder of the plans, watches the store; the others ask it for
-changes. A fleet in which each process watches for itself would spend its calls
-on telling everyone the same, and processes that the store turns away would
-learn nothing.
+One process, the holder, watches the store; the others request its changes from
+the holder or from each other. If each process watched for itself, the fleet
+would spend its calls on sending the same to all of them, and processes whose
+calls the store rejects would learn of no change.
 """
 
 import asyncio
@@ -31,170 +31,192 @@
     StoreStatus,
     StoreStatusRequest,
 )
-from zinniaspool.fleet.belief import FleetBelief
-from zinniaspool.fleet.sight import HolderSight, boot_time
+from zinniaspool.fleet.belief import FleetView
+from zinniaspool.fleet.sight import HolderHeartbeat, read_boot_clock
 from zinniaspool.peers import PeerHandler, PeerLinks, PeerListener, encode_frame
 
-__all__ = ["FleetMesh", "Lead", "is_nobody_there", "unpack_items"]
+__all__ = ["PeerExchange", "HolderTerm", "is_connection_refused", "unpack_items"]
 
-ANSWER_S = 0.6
-"""Longest wait for a peer, in seconds; a question itself waits for under half
-of this. One that was cut off is given up in time for a change to be known
-within two seconds, though two processes are asked one after the other."""
+ANSWER_TIMEOUT_S = 0.6
+"""Longest wait for a peer's answer, in seconds; a request for updates lets the
+peer wait for a change for less than half of it. The request to a peer that is
+cut off is given up in time for a change to be known within two seconds, even
+if two processes are tried one after the other."""
 
-NOTE_S = 0.3
-"""Longest wait for a note to leave, in seconds: a later one is worthless."""
+SEND_TIMEOUT_S = 0.3
+"""Longest time to send a one-way message, in seconds; later it has no use."""
 
 
-FRESH_WORD_S = 1.0
-"""For how long a process's own knowledge of the store counts, in seconds."""
+STORE_STATUS_TTL_S = 1.0
+"""For how long the result of a process's own call to the store is reported to
+peers, in seconds."""
 
-WORD_WAIT_S = 0.4
-"""How long an answer waits for such knowledge, in seconds."""
+STORE_STATUS_WAIT_S = 0.4
+"""How long a status report waits for the result of a probe, in seconds."""
 
+COMPRESSION_LEVEL = 1
+"""Level of zlib with the least effort. Instance records resemble each other,
+so that it still compresses them to a sixth. Each change goes to every VM, over
+links of a megabyte a second."""
 
-PACK_LEVEL = 1
-"""Least effort. Entries resemble each other, so that a sixth is left all the
-same; each change goes to every VM, over links of a megabyte a second."""
+MAX_UNPACKED_BYTES = 16 * 1024 * 1024
+"""Largest update after decompression: a value has a megabyte at most, and the
+instance records of a fleet come to about as much."""
 
-MOST_UNPACKED_BYTES = 16 * 1024 * 1024
-"""Largest copy after unpacking: a value has a megabyte at most, and a fleet's
-entries come to about as much."""
+NEVER_RECEIVED_AGE_S = 1e6
+"""Age in seconds of a heartbeat that was never received."""
 
-NEVER_S = 1e6
-"""Age of what was never heard."""
 
+class HolderTerm(NamedTuple):
+    """Which start of which process plans groups, and when it confirmed that.
 
-class Lead(NamedTuple):
-    """Which start of which process plans groups, and when it said so."""
+    Attributes:
+        start: Names the start of the holder's process; empty if unknown.
+        age_s: Seconds since the holder's last heartbeat.
+        provisional: Whether the holder then reported that no process reaches
+            the store.
+    """
 
     start: str
     age_s: float
     provisional: bool
 
 
-class FleetMesh:
-    """This process's side of it: answers others, asks others.
+class PeerExchange:
+    """Sends requests to peers and answers theirs.
 
     Args:
         node: This process's VM.
         domain: Its failure domain.
-        belief: What it knows.
-        handler: Takes messages that are no questions.
-        sight: When the holder was last heard.
-        probe_store: Asks the store for anything; tells whether it answered.
-        find_own_lead: Returns what this process says while it plans groups.
+        view: This process's view of the fleet.
+        handler: Handles messages of other kinds than this module's requests.
+        heartbeat: The holder's last heartbeat.
+        probe_store: Queries the store and returns whether it answered.
+        find_local_term: Returns this process's term as the holder; None while
+            it does not plan groups.
     """
 
     def __init__(
         self,
         node: NodeId,
         domain: FailureDomainId,
-        belief: FleetBelief,
+        view: FleetView,
         handler: PeerHandler,
-        sight: HolderSight,
+        heartbeat: HolderHeartbeat,
         probe_store: Callable[[], Awaitable[bool]],
-        find_own_lead: Callable[[], Lead | None] = lambda: None,
+        find_local_term: Callable[[], HolderTerm | None] = lambda: None,
     ) -> None:
         self._node = node
-        self._belief = belief
+        self._view = view
         self._handler = handler
-        self._sight = sight
+        self._heartbeat = heartbeat
         self._probe_store = probe_store
-        self._find_own_lead = find_own_lead
+        self._find_local_term = find_local_term
         self._demands = DemandTotals()
-        self._packed: tuple[object, bytes] | None = None
-        self._probing: asyncio.Task[None] | None = None
+        self._compressed: tuple[object, bytes] | None = None
+        self._probe_task: asyncio.Task[None] | None = None
         self._probed_at = float("-inf")
-        self._reachable: bool | None = None
+        self._store_reachable: bool | None = None
         self._source = f"{node}-{secrets.token_hex(4)}"
         hello = Hello(PROTOCOL_VERSION, node, Incarnation(0), domain, "")
-        self._asking = PeerLinks(lambda: hello, ANSWER_S)
-        self._telling = PeerLinks(lambda: hello, NOTE_S)
-        self._sending: set[asyncio.Task[bool]] = set()
-        self._listener = PeerListener(node, lambda _: True, self._take)
-        self._news = asyncio.Event()
-        belief.on_change.append(self._wake)
+        self._query_links = PeerLinks(lambda: hello, ANSWER_TIMEOUT_S)
+        self._send_links = PeerLinks(lambda: hello, SEND_TIMEOUT_S)
+        self._pending_sends: set[asyncio.Task[bool]] = set()
+        self._listener = PeerListener(node, lambda _: True, self._handle)
+        self._changed = asyncio.Event()
+        view.on_change.append(self._notify_waiting)
 
     async def listen(self, address: Address) -> None:
-        """Answer others from now on."""
+        """Accept requests of peers from now on."""
         await self._listener.listen(address)
 
     def close(self) -> None:
         """Close all connections."""
         self._listener.close()
-        self._asking.close()
-        self._telling.close()
-
-    async def ask(self, address: Address, watch: FleetWatch) -> FleetUpdate | None:
-        """Ask a process for news; None where no answer came."""
-        answer = await self._asking.ask(address, watch)
+        self._query_links.close()
+        self._send_links.close()
+
+    async def request_update(
+        self, address: Address, watch: FleetWatch
+    ) -> FleetUpdate | None:
+        """Request an update from a process; return None if no answer came."""
+        answer = await self._query_links.ask(address, watch)
         return answer if isinstance(answer, FleetUpdate) else None
 
     def sum_demands(self) -> list[ModelDemandReport]:
-        """Return how much the models are asked for at all that follow this."""
+        """Return the demand for models summed over all followers."""
         return self._demands.sum_by_model(asyncio.get_running_loop().time())
 
-    async def ask_store(self, address: Address) -> bool | None:
-        """Ask whether a process reaches the store; None where unknown.
+    async def query_store_status(self, address: Address) -> bool | None:
+        """Query whether a process reaches the store; return None if unknown.
 
-        One that has ended reaches nothing: its VM refuses connections there.
+        A process that has ended, whose VM refuses connections, does not.
         """
-        word = await self._asking.ask(address, StoreStatusRequest())
-        if isinstance(word, StoreStatus):
-            return word.reachable
-        return False if await is_nobody_there(address) else None
-
-    async def ask_holder(self, address: Address) -> float | None:
-        """Ask for how long a process has not heard the holder."""
-        word = await self._asking.ask(address, StoreStatusRequest())
-        return word.holder_unheard_s if isinstance(word, StoreStatus) else None
-
-    def tell(self, addresses: Collection[Address], message: Message) -> None:
-        """Send a note that has no answer; one that cannot leave is lost."""
+        status = await self._query_links.ask(address, StoreStatusRequest())
+        if isinstance(status, StoreStatus):
+            return status.reachable
+        return False if await is_connection_refused(address) else None
+
+    async def query_holder_age(self, address: Address) -> float | None:
+        """Query the age of the last heartbeat of the holder at a process.
+
+        Returns:
+            Its age in seconds; None if no answer came.
+        """
+        status = await self._query_links.ask(address, StoreStatusRequest())
+        return status.holder_unheard_s if isinstance(status, StoreStatus) else None
+
+    def send(self, addresses: Collection[Address], message: Message) -> None:
+        """Send a message that has no answer; drop it if it can't be sent."""
         if not addresses:
             return
         frame = encode_frame(message)
         for address in addresses:
-            if not self._telling.post(address, frame):
-                sending = asyncio.create_task(self._telling.send(address, message))
-                self._sending.add(sending)
-                sending.add_done_callback(self._sending.discard)
+            if not self._send_links.post(address, frame):
+                sending = asyncio.create_task(self._send_links.send(address, message))
+                self._pending_sends.add(sending)
+                sending.add_done_callback(self._pending_sends.discard)
 
-    async def _take(self, hello: Hello, message: Message) -> Message | None:
+    async def _handle(self, hello: Hello, message: Message) -> Message | None:
         if isinstance(message, FleetWatch):
             now = asyncio.get_running_loop().time()
             self._demands.update(hello.node, message.demands, now)
-            return await self._answer(message)
+            return await self._create_update(message)
         if isinstance(message, StoreStatusRequest):
-            return await self._tell_store()
+            return await self._create_store_status()
         return await self._handler(hello, message)
 
-    async def _tell_store(self) -> StoreStatus:
-        now = boot_time()
-        if now - self._belief.confirmed_at_boot < FRESH_WORD_S:
-            self._reachable, self._probed_at = True, now
-        elif now - self._probed_at > FRESH_WORD_S / 2 and self._probing is None:
-            self._probing = asyncio.create_task(self._probe())
-        if self._probing is not None and now - self._probed_at > FRESH_WORD_S:
-            await asyncio.wait([self._probing], timeout=WORD_WAIT_S)
-        fresh = boot_time() - self._probed_at <= FRESH_WORD_S
-        holder = self._belief.holder
-        unheard_s = NEVER_S if holder is None else self._sight.unheard_s(holder)
-        return StoreStatus(self._reachable if fresh else None, unheard_s)
+    async def _create_store_status(self) -> StoreStatus:
+        now = read_boot_clock()
+        if now - self._view.store_confirmed_at < STORE_STATUS_TTL_S:
+            self._store_reachable, self._probed_at = True, now
+        elif (
+            now - self._probed_at > STORE_STATUS_TTL_S / 2 and self._probe_task is None
+        ):
+            self._probe_task = asyncio.create_task(self._probe())
+        if self._probe_task is not None and now - self._probed_at > STORE_STATUS_TTL_S:
+            await asyncio.wait([self._probe_task], timeout=STORE_STATUS_WAIT_S)
+        fresh = read_boot_clock() - self._probed_at <= STORE_STATUS_TTL_S
+        holder = self._view.holder
+        age_s = (
+            NEVER_RECEIVED_AGE_S
+            if holder is None
+            else self._heartbeat.compute_age_s(holder)
+        )
+        return StoreStatus(self._store_reachable if fresh else None, age_s)
 
     async def _probe(self) -> None:
         try:
-            self._reachable = await self._probe_store()
-            self._probed_at = boot_time()
+            self._store_reachable = await self._probe_store()
+            self._probed_at = read_boot_clock()
         finally:
-            self._probing = None
+            self._probe_task = None
 
-    async def _answer(self, watch: FleetWatch) -> FleetUpdate:
-        mirror = self._belief.mirror
+    async def _create_update(self, watch: FleetWatch) -> FleetUpdate:
+        mirror = self._view.mirror
         known = watch.source == self._source and watch.serial > 0
         if known and mirror.serial == watch.serial:
-            await self._wait_for_news(min(watch.wait_s, ANSWER_S / 2))
+            await self._wait_for_change(min(watch.wait_s, ANSWER_TIMEOUT_S / 2))
         source, whole = self._source, False
         since: object = (known, watch.serial if known else watch.as_of)
         if known:
@@ -202,93 +224,94 @@
         elif not watch.as_of:
             changed, whole = mirror.list_since_serial(0), True
         elif mirror.history_start and mirror.history_start <= watch.as_of:
-            # All that a process already has need not go over the link again:
-            # when a new holder is followed, all ask at the same moment.
+            # What the peer already has isn't sent again: when there is a new
+            # holder, all processes send it a request at the same moment.
             changed = mirror.list_since_revision(watch.as_of)
         else:
             changed, source = [], ""
-        lead = self._describe_lead()
+        term = self._describe_holder()
         return FleetUpdate(
             source,
             mirror.serial if source else 0,
             whole,
             self._pack(since, changed),
             mirror.confirmed_as_of,
-            self._belief.age(asyncio.get_running_loop().time()),
-            lead.start,
-            lead.age_s,
-            lead.provisional,
-            self._belief.lost,
+            self._view.compute_age_s(asyncio.get_running_loop().time()),
+            term.start,
+            term.age_s,
+            term.provisional,
+            self._view.unreachable,
         )
 
-    def _describe_lead(self) -> Lead:
-        own = self._find_own_lead()
-        if own is not None:
-            return own
-        heard = self._sight.heard
-        if heard is None:
-            return Lead("", NEVER_S, provisional=False)
-        unheard_s = self._sight.unheard_s(heard)
-        return Lead(heard.start, unheard_s, self._sight.provisional)
+    def _describe_holder(self) -> HolderTerm:
+        local_term = self._find_local_term()
+        if local_term is not None:
+            return local_term
+        holder = self._heartbeat.last_holder
+        if holder is None:
+            return HolderTerm("", NEVER_RECEIVED_AGE_S, provisional=False)
+        age_s = self._heartbeat.compute_age_s(holder)
+        return HolderTerm(holder.start, age_s, self._heartbeat.provisional)
 
     def _pack(
         self, since: object, changed: list[tuple[str, StoredItem | None, Revision]]
     ) -> bytes:
-        """Return items as they go over the wire.
+        """Return items in their wire format.
 
-        Many ask for the same at the same moment, so that it is kept.
+        The last result is cached, since many followers request the same
+        changes at the same moment.
         """
-        key = (since, self._belief.mirror.serial)
-        if self._packed is None or self._packed[0] != key:
-            self._packed = (key, pack_items(changed))
-        return self._packed[1]
+        key = (since, self._view.mirror.serial)
+        if self._compressed is None or self._compressed[0] != key:
+            self._compressed = (key, pack_items(changed))
+        return self._compressed[1]
 
-    async def _wait_for_news(self, wait_s: float) -> None:
-        news = self._news
+    async def _wait_for_change(self, wait_s: float) -> None:
+        changed = self._changed
         try:
             async with asyncio.timeout(wait_s):
-                await news.wait()
+                await changed.wait()
         except TimeoutError:
             return
 
-    def _wake(self) -> None:
-        # A new event for each change, so that whoever waits sees its own.
-        self._news.set()
-        self._news = asyncio.Event()
+    def _notify_waiting(self) -> None:
+        # Each change sets its own event, so that each waiting request wakes.
+        self._changed.set()
+        self._changed = asyncio.Event()
 
 
 def pack_items(changed: list[tuple[str, StoredItem | None, Revision]]) -> bytes:
-    """Return items as they go over the wire."""
+    """Return items in their wire format."""
     items = [
         FleetUpdateItem(key, None if item is None else item.value, revision)
         for key, item, revision in changed
     ]
     if not items:
         return b""
-    return zlib.compress(msgspec.msgpack.encode(items), PACK_LEVEL)
+    return zlib.compress(msgspec.msgpack.encode(items), COMPRESSION_LEVEL)
 
 
 def unpack_items(packed: bytes) -> list[FleetUpdateItem]:
-    """Return the items that were packed.
+    """Return the items that ``pack_items`` encoded.
 
     Raises:
-        zlib.error: They are not what compression makes, or too large.
-        msgspec.MsgspecError: They are no items.
+        zlib.error: The data can't be decompressed or is too large.
+        msgspec.MsgspecError: The decompressed data are no items.
     """
     if not packed:
         return []
     unpacker = zlib.decompressobj()
-    data = unpacker.decompress(packed, MOST_UNPACKED_BYTES)
+    data = unpacker.decompress(packed, MAX_UNPACKED_BYTES)
     if not unpacker.eof:
-        raise zlib.error("too large")
+        raise zlib.error("truncated, or too large")
     return msgspec.msgpack.decode(data, type=list[FleetUpdateItem])
 
 
-async def is_nobody_there(address: Address) -> bool:
-    """Tell whether a VM is there and refuses connections at an address."""
+async def is_connection_refused(address: Address) -> bool:
+    """Return whether a VM is up but refuses connections at an address."""
     host, port = split_address(address)
     try:
-        async with asyncio.timeout(NOTE_S):
+        async with asyncio.timeout(SEND_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, port)
     except ConnectionRefusedError:
         return True
--- a/src/zinniaspool/fleet/metrics.py
+++ b/src/zinniaspool/fleet/metrics.py
@@ -1,9 +1,9 @@
-"""Metrics of both programs: what is believed, and the calls to the store."""
+"""Metrics of both programs: the fleet view and the calls to the store."""
 
 import asyncio
 from collections.abc import Iterator
 
-from zinniaspool.fleet.belief import FleetBelief
+from zinniaspool.fleet.belief import FleetView
 from zinniaspool.fleet.store import FleetStore
 from zinniaspool.telemetry import Sample
 from zinniaspool.telemetry.page import MetricsPage
@@ -11,10 +11,8 @@
 __all__ = ["add_fleet_metrics"]
 
 
-def add_fleet_metrics(
-    page: MetricsPage, belief: FleetBelief, store: FleetStore
-) -> None:
-    """Add what a process believes and how it learned of it."""
+def add_fleet_metrics(page: MetricsPage, view: FleetView, store: FleetStore) -> None:
+    """Add metrics of a process's fleet view and of its calls to the store."""
 
     def list_calls() -> Iterator[Sample]:
         for (kind, outcome), count in store.calls.items():
@@ -22,16 +20,24 @@
 
     def list_age() -> Iterator[Sample]:
         now = asyncio.get_running_loop().time()
-        yield Sample({}, max(0.0, belief.age(now)))
+        yield Sample({}, max(0.0, view.compute_age_s(now)))
 
     def list_version() -> Iterator[Sample]:
-        catalog = belief.catalog
+        catalog = view.catalog
         yield Sample({}, 0 if catalog is None else catalog.version)
 
     def list_instances() -> Iterator[Sample]:
-        yield Sample({}, len(belief.instances))
+        yield Sample({}, len(view.instances))
 
     page.count("zinniaspool_store_calls", "Calls to the store.", list_calls)
-    page.gauge("zinniaspool_belief_age_seconds", "Age of what is believed.", list_age)
-    page.gauge("zinniaspool_configuration", "Version in force.", list_version)
-    page.gauge("zinniaspool_instances", "Instances known.", list_instances)
+    page.gauge(
+        "zinniaspool_belief_age_seconds",
+        "Seconds since the fleet view was confirmed.",
+        list_age,
+    )
+    page.gauge(
+        "zinniaspool_configuration",
+        "Version of the active configuration.",
+        list_version,
+    )
+    page.gauge("zinniaspool_instances", "Known instances.", list_instances)
--- a/src/zinniaspool/fleet/settings.py
+++ b/src/zinniaspool/fleet/settings.py
@@ -1,4 +1,4 @@
-"""What a process is told of its VM, the store and its bounds."""
+"""Settings of a process: its VM, its addresses, the store and its bounds."""
 
 from dataclasses import dataclass
 
@@ -9,34 +9,36 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a process is told when it starts.
+    """Settings that the platform gives a process when it starts.
 
     Attributes:
         node: The VM's name.
-        ip: Its IP number.
-        failure_domain: Where it is.
-        region: The region of that.
+        ip: The VM's IP address.
+        failure_domain: The VM's failure domain.
+        region: The region of the failure domain.
         caller_address: Where callers connect, or None.
-        ready_address: Where the platform asks whether callers may be sent.
-        directory_address: Where callers ask which addresses to use, or None.
+        ready_address: Where the platform checks whether the process is ready
+            for callers, or None.
+        directory_address: Where callers look up the addresses to use, or None.
         control_address: Where this VM's control process listens.
-        first_port: First of the ports for traffic of our own.
-        seeds: Control processes that may be reached at the start.
+        first_port: First of the ports for traffic between processes.
+        seeds: Control processes to contact first at the start.
         store_address: The platform's store.
-        least_lease_s: Shortest lease that the store grants.
-        heartbeat_s: How often an instance writes its entry.
+        least_lease_s: Shortest lease that the store grants, in seconds.
+        heartbeat_s: Interval at which an instance writes its record, in
+            seconds.
         first_start: Whether the whole system starts for the first time.
-        grace_s: From the stop signal to the end.
-        address_lifetime_s: Longest lifetime of an address answer.
-        stall_s: How long a group that lacks a VM stands still before it
-            refuses.
-        repeat_ratio: Repeats allowed for each request, all processes
-            together.
-        repeat_window_s: Over how long repeats are counted.
-        repeat_slack: Repeats allowed besides.
-        load_window_s: Over how long loads of weights are counted.
-        cores: Processor time a second, in seconds.
-        link_mbps: Bandwidth of its link.
+        grace_s: Time from the stop signal to the process's end, in seconds.
+        address_lifetime_s: Longest lifetime of an address answer, in seconds.
+        stall_s: How long a group that lacks a VM stalls before it refuses
+            requests, in seconds.
+        repeat_ratio: Retries allowed per request, all processes together.
+        repeat_window_s: Window in which retries are counted, in seconds.
+        repeat_slack: Retries allowed in addition to the ratio.
+        load_window_s: Window in which loads of weights are counted, in
+            seconds.
+        cores: Processor time available per second, in seconds.
+        link_mbps: Bandwidth of the VM's link, in Mbit/s.
     """
 
     node: NodeId
--- a/src/zinniaspool/fleet/sight.py
+++ b/src/zinniaspool/fleet/sight.py
@@ -1,64 +1,69 @@
-"""When the holder was last heard, and clocks that count standstills."""
+"""Age of the holder's last heartbeat, on a clock that counts suspensions."""
 
 import time
 
 from zinniaspool.core.fleet import HolderRecord
 
-__all__ = ["HolderSight", "boot_time"]
+__all__ = ["HolderHeartbeat", "read_boot_clock"]
 
 
-def boot_time() -> float:
+def read_boot_clock() -> float:
     """Return seconds on a clock that goes on while the VM is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class HolderSight:
-    """When this process last heard the holder say that it plans.
+class HolderHeartbeat:
+    """When the holder last confirmed that it plans groups.
+
+    Its heartbeat reaches other processes with the fleet updates of their
+    peers, which state how old it is.
 
     Attributes:
-        provisional: Whether the holder then said that the store is down for
-            all.
+        provisional: Whether the holder then reported that no process reaches
+            the store.
     """
 
     def __init__(self) -> None:
         self.provisional = False
-        self._record: HolderRecord | None = None
+        self._holder: HolderRecord | None = None
         self._at = float("-inf")
-        self._unanswered: HolderRecord | None = None
+        self._unresponsive: HolderRecord | None = None
 
-    def hear(self, record: HolderRecord, age_s: float, *, provisional: bool) -> None:
-        """Note that the holder said so, some seconds ago.
+    def record(self, holder: HolderRecord, age_s: float, *, provisional: bool) -> None:
+        """Record a heartbeat, unless a later one of this holder is known.
 
         Args:
-            record: Who.
-            age_s: How long ago.
-            provisional: Whether it said that the store is down for all.
+            holder: The holder that sent it.
+            age_s: How long ago it was sent, in seconds.
+            provisional: Whether the holder reported that no process reaches
+                the store.
         """
-        self._unanswered = None
-        at = boot_time() - age_s
-        if self._record != record or at > self._at:
-            self._record, self._at = record, at
+        self._unresponsive = None
+        at = read_boot_clock() - age_s
+        if self._holder != holder or at > self._at:
+            self._holder, self._at = holder, at
             self.provisional = provisional
 
-    def note_unanswered(self, record: HolderRecord) -> None:
-        """Note that the holder did not answer a question of this process."""
-        self._unanswered = record
+    def mark_unresponsive(self, holder: HolderRecord) -> None:
+        """Record that the holder did not answer a query of this process."""
+        self._unresponsive = holder
 
-    def is_unanswered(self, record: HolderRecord) -> bool:
-        """Tell whether it has not been heard since it did not answer."""
-        return self._unanswered == record
+    def is_unresponsive(self, holder: HolderRecord) -> bool:
+        """Return whether no heartbeat came since the holder did not answer."""
+        return self._unresponsive == holder
 
     @property
-    def heard(self) -> HolderRecord | None:
-        """The holder that was last heard, or learned of."""
-        return self._record
+    def last_holder(self) -> HolderRecord | None:
+        """The holder of the last heartbeat, or the one learned of since."""
+        return self._holder
 
-    def unheard_s(self, record: HolderRecord) -> float:
-        """Return for how many seconds a holder has not been heard.
+    def compute_age_s(self, holder: HolderRecord) -> float:
+        """Return the seconds since a holder's last heartbeat.
 
-        One that this process has just learned of had no time to be heard.
+        For a holder that this process has just learned of, they count from
+        this call: it had no time to send a heartbeat.
         """
-        if self._record != record:
-            self._record, self._at = record, boot_time()
+        if self._holder != holder:
+            self._holder, self._at = holder, read_boot_clock()
             self.provisional = False
-        return boot_time() - self._at
+        return read_boot_clock() - self._at
--- a/src/zinniaspool/fleet/spelling.py
+++ b/src/zinniaspool/fleet/spelling.py
@@ -1,4 +1,4 @@
-"""How instances and rules are written in the store."""
+"""Interface for the formats of instance records and rules in the store."""
 
 from typing import Protocol
 
@@ -6,28 +6,28 @@
 
 from zinniaspool.core.fleet import Catalog, EngineStatus, Instance
 
-__all__ = ["FleetSpelling"]
+__all__ = ["FleetCodec"]
 
 
-class FleetSpelling(Protocol):
-    """Reads what others write in the store.
+class FleetCodec(Protocol):
+    """Decodes what instances and operators write in the store.
 
     Attributes:
-        entries_prefix: Instances write their entries below it.
-        rules_key: The operator's rules are there.
+        instances_prefix: Prefix of the keys of instance records.
+        rules_key: Key of the operator's rules.
     """
 
-    entries_prefix: str
+    instances_prefix: str
     rules_key: str
 
-    def read_entry(self, key: str, value: bytes) -> Result[Instance, str]:
-        """Return the instance of an entry, or why it names none."""
+    def decode_instance(self, key: str, value: bytes) -> Result[Instance, str]:
+        """Return the instance of a record, or why the record is invalid."""
         ...
 
-    def amend_entry(self, value: bytes, status: EngineStatus) -> Result[bytes, str]:
-        """Return an entry as its engine would write it now."""
+    def apply_status(self, value: bytes, status: EngineStatus) -> Result[bytes, str]:
+        """Return an instance record updated by its engine's status."""
         ...
 
-    def read_rules(self, value: bytes) -> Result[Catalog, str]:
-        """Return the rules, or why they cannot be read."""
+    def decode_rules(self, value: bytes) -> Result[Catalog, str]:
+        """Return the decoded rules, or why they are invalid."""
         ...
--- a/src/zinniaspool/fleet/store.py
+++ b/src/zinniaspool/fleet/store.py
@@ -1,4 +1,4 @@
-"""What a process needs of the store that the whole fleet shares."""
+"""Interface of the key-value store that the whole fleet shares."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -23,12 +23,12 @@
 class FleetStore(Protocol):
     """Calls to the store.
 
-    An answer that did not come leaves open whether a write was done, and it
-    may still be done seconds later: such a call ends in ``UNKNOWN``, and its
-    caller reads the key before it believes either.
+    If no answer to a write arrives, it is unknown whether the store applied
+    it, and the store may still apply it seconds later. Such a call returns
+    ``UNKNOWN``, and its caller must read the key to find out.
 
     Attributes:
-        calls: Calls made so far, by kind and outcome.
+        calls: Number of calls made so far, by kind and outcome.
     """
 
     calls: Counter[tuple[StoreCall, str]]
@@ -38,7 +38,7 @@
         ...
 
     async def probe(self) -> bool:
-        """Tell whether the store answers at all."""
+        """Return whether the store answers at all."""
         ...
 
     async def read(self, prefix: str) -> Result[RangeResult, StoreFault]:
@@ -51,10 +51,10 @@
         """Wait for changes below a prefix later than a revision.
 
         Args:
-            prefix: Of the keys.
+            prefix: Prefix of the keys.
             after: The revision.
-            wait_s: For how long the store may wait for a change.
-            overdue_s: How much later its answer may come.
+            wait_s: How long the store may wait for a change, in seconds.
+            overdue_s: How much later its answer may arrive, in seconds.
         """
         ...
 
@@ -64,21 +64,21 @@
         writes: Sequence[KeyWrite] = (),
         removals: Sequence[str] = (),
     ) -> Result[Revision, StoreFault]:
-        """Write and remove keys if all expected ones are as expected.
+        """Write and remove keys if all expected keys have their revisions.
 
         Args:
-            expected: Keys and their revisions; 0 for an absent one.
-            writes: What to write.
+            expected: Keys and their revisions; 0 for an absent key.
+            writes: Keys to write, with their values and leases.
             removals: Keys to remove.
         """
         ...
 
     async def grant(self, ttl_s: float) -> Result[LeaseNumber, StoreFault]:
-        """Return a new lease; keys written under it go when it ends."""
+        """Return a new lease, whose end removes the keys written under it."""
         ...
 
     async def renew(self, lease: LeaseNumber) -> Result[None, StoreFault]:
-        """Start a lease's time anew."""
+        """Renew a lease for its full lifetime."""
         ...
 
     async def end_lease(self, lease: LeaseNumber) -> Result[None, StoreFault]:
--- a/src/zinniaspool/gateway/directory.py
+++ b/src/zinniaspool/gateway/directory.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from zinniaspool.core.fleet import NodeRecord, NodeState, ReachabilityTracker
-from zinniaspool.fleet import FleetBelief
+from zinniaspool.fleet import FleetView
 from zinniaspool.http import Exchange, Headers
 
 __all__ = ["DirectoryHandler"]
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        fleet_view: FleetBelief,
+        fleet_view: FleetView,
         find_own_record: Callable[[], NodeRecord | None],
         lifetime_s: float,
         reachability: ReachabilityTracker,
--- a/src/zinniaspool/gateway/face.py
+++ b/src/zinniaspool/gateway/face.py
@@ -24,7 +24,7 @@
 from zinniaspool.core.errors import ERROR_ANSWERS, ErrorKind, Fault
 from zinniaspool.core.fleet import Catalog, CustomerSpec, RouteSpec
 from zinniaspool.core.ids import ContentId, ServiceName
-from zinniaspool.fleet import FleetBelief
+from zinniaspool.fleet import FleetView
 from zinniaspool.gateway.calls import GatewayCall
 from zinniaspool.gateway.carrier import RequestForwarder
 from zinniaspool.gateway.spelling import CallCodec
@@ -84,7 +84,7 @@
     def __init__(
         self,
         codec: CallCodec,
-        fleet_view: FleetBelief,
+        fleet_view: FleetView,
         forwarder: RequestForwarder,
         retry_limits: RetryLimits,
         accepts_requests: Callable[[], bool],
--- a/src/zinniaspool/gateway/main.py
+++ b/src/zinniaspool/gateway/main.py
@@ -38,16 +38,16 @@
 )
 from zinniaspool.core.storage import KeyWrite
 from zinniaspool.fleet import (
-    FleetBelief,
+    FleetCodec,
     FleetFollower,
-    FleetMesh,
-    FleetSpelling,
     FleetStore,
-    HolderSight,
-    KeptLease,
+    FleetView,
+    HolderHeartbeat,
     NodeSettings,
-    make_place,
-    run_duty,
+    PeerExchange,
+    RenewedLease,
+    make_location,
+    run_supervised,
 )
 from zinniaspool.gateway.carrier import RequestForwarder
 from zinniaspool.gateway.crashes import CrashDetector
@@ -126,7 +126,7 @@
         self,
         settings: NodeSettings,
         store: FleetStore,
-        fleet_codec: FleetSpelling,
+        fleet_codec: FleetCodec,
         call_codec: CallCodec,
         metrics_port: int = 0,
         listener: socket.socket | None = None,
@@ -138,13 +138,13 @@
         self._metrics_address = (
             Address(f"{settings.ip}:{metrics_port}") if metrics_port else None
         )
-        self._fleet_view = FleetBelief(fleet_codec)
+        self._fleet_view = FleetView(fleet_codec)
         self._stopping_at: float | None = None
         self._stop_requested = asyncio.Event()
         self._configured = asyncio.Event()
         self._store = store
-        holder_heartbeat = HolderSight()
-        self._peer_exchange = FleetMesh(
+        holder_heartbeat = HolderHeartbeat()
+        self._peer_exchange = PeerExchange(
             settings.node,
             settings.failure_domain,
             self._fleet_view,
@@ -161,7 +161,7 @@
             lambda: False,
             self._list_seeds,
             self._list_demands,
-            make_place(settings),
+            make_location(settings),
             settings.control_address,
         )
         self._index = TargetIndex(self._fleet_view, settings.failure_domain)
@@ -240,14 +240,14 @@
             self._reachability,
             self._report_unreachable,
         )
-        self._lease = KeptLease(self._store, NODE_LEASE_S)
+        self._lease = RenewedLease(self._store, NODE_LEASE_S)
         self._server = HttpServer(self._caller_handler.handle, refuse=refuse_request)
         self._servers = [self._server]
         self._tasks: list[asyncio.Task[None]] = []
         self._fleet_view.on_catalog.append(self._apply_catalog)
         self._fleet_view.on_instances.append(self._refresh_targets)
         self._fleet_view.on_nodes.append(self._update_subset)
-        self._fleet_view.on_held.append(self._crash_detector.apply_records)
+        self._fleet_view.on_quarantine.append(self._crash_detector.apply_records)
 
     def stop(self) -> None:
         """Make the process stop gracefully."""
@@ -257,18 +257,22 @@
         """Run until the process is told to stop."""
         _log.info("started", first_start=self._settings.first_start)
         self._tasks = [
-            asyncio.create_task(run_duty("follower", self._follower.run)),
-            asyncio.create_task(run_duty("register", self._register)),
-            asyncio.create_task(run_duty("watch_silence", self._stall_detector.run)),
-            asyncio.create_task(run_duty("tell_loads", self._report_loads)),
-            asyncio.create_task(run_duty("prober", self._prober.run)),
-            asyncio.create_task(run_duty("records", self._quarantine_records.run)),
+            asyncio.create_task(run_supervised("follower", self._follower.run)),
+            asyncio.create_task(run_supervised("register", self._register)),
+            asyncio.create_task(
+                run_supervised("watch_silence", self._stall_detector.run)
+            ),
+            asyncio.create_task(run_supervised("tell_loads", self._report_loads)),
+            asyncio.create_task(run_supervised("prober", self._prober.run)),
+            asyncio.create_task(
+                run_supervised("records", self._quarantine_records.run)
+            ),
         ]
         await self._listen()
         await self._peer_exchange.listen(self._address)
         await self._stop_requested.wait()
         await self._leave()
-        await self._lease.end()
+        await self._lease.release()
         await self.abort()
         _log.info("stopped", running=self._caller_handler.running)
 
@@ -350,14 +354,14 @@
 
     def _send(self, nodes: Collection[NodeId], message: Message) -> None:
         records = [self._fleet_view.nodes.get(node) for node in nodes]
-        self._peer_exchange.tell(
+        self._peer_exchange.send(
             [record.peer_address for record in records if record], message
         )
 
     def _send_to_holder(self, message: Message) -> None:
         holder = self._fleet_view.holder
         if holder is not None:
-            self._peer_exchange.tell([holder.peer_address], message)
+            self._peer_exchange.send([holder.peer_address], message)
 
     def _list_demands(self) -> list[ModelDemandReport]:
         return self._index.list_demands(self._admission_queues.estimate_demand)
@@ -430,7 +434,7 @@
     def _refresh_targets(self) -> None:
         now = asyncio.get_running_loop().time()
         for state in self._index.refresh(now):
-            if self._fleet_view.is_over(
+            if self._fleet_view.has_ended(
                 state.target.instance, state.target.started_at_ms
             ):
                 self._http.forget(state.target.address)
@@ -456,20 +460,20 @@
         written = None
         await self._configured.wait()
         while True:
-            if await self._lease.keep():
+            if await self._lease.renew_or_replace():
                 state = (
                     NodeState.READY if self._stopping_at is None else NodeState.LEAVING
                 )
-                wanted = (self._lease.number, state)
+                wanted = (self._lease.lease_number, state)
                 if written != wanted and await self._write_record(state):
                     written = wanted
-            await self._lease.pause()
+            await self._lease.wait_until_due()
 
     async def _write_record(self, state: NodeState) -> bool:
-        assert self._lease.number is not None
+        assert self._lease.lease_number is not None
         key = NODES_PREFIX + self._settings.node
         value = msgspec.json.encode(self._make_record(state))
-        write = KeyWrite(key, value, self._lease.number)
+        write = KeyWrite(key, value, self._lease.lease_number)
         committed = await self._store.commit([], [write])
         return not isinstance(committed, Err)
 
@@ -486,5 +490,5 @@
                 await self._caller_handler.idle.wait()
 
     async def _write_leaving_record(self) -> None:
-        if self._lease.number is not None:
+        if self._lease.lease_number is not None:
             await self._write_record(NodeState.LEAVING)
--- a/src/zinniaspool/gateway/metrics.py
+++ b/src/zinniaspool/gateway/metrics.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from zinniaspool.fleet import FleetBelief, FleetStore
+from zinniaspool.fleet import FleetStore, FleetView
 from zinniaspool.fleet.metrics import add_fleet_metrics
 from zinniaspool.gateway.crashes import CrashDetector
 from zinniaspool.gateway.targets import TargetIndex
@@ -17,7 +17,7 @@
 
 def make_gateway_metrics(
     tally: RequestTally,
-    fleet_view: FleetBelief,
+    fleet_view: FleetView,
     store: FleetStore,
     index: TargetIndex,
     http: HttpClient,
--- a/src/zinniaspool/gateway/probes.py
+++ b/src/zinniaspool/gateway/probes.py
@@ -11,7 +11,7 @@
 
 from zinniaspool.core.fleet import NodeRecord, ProbeOutcome, ReachabilityTracker
 from zinniaspool.core.ids import Address, NodeId, split_address
-from zinniaspool.fleet import FleetBelief
+from zinniaspool.fleet import FleetView
 
 __all__ = ["NodeProber", "probe_address"]
 
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        fleet_view: FleetBelief,
+        fleet_view: FleetView,
         local_node: NodeId,
         reachability: ReachabilityTracker,
         on_unreachable: Callable[[NodeId], None],
--- a/src/zinniaspool/gateway/records.py
+++ b/src/zinniaspool/gateway/records.py
@@ -15,7 +15,7 @@
 from zinniaspool.core.fleet import HELD_PREFIX, InstanceId, QuarantineRecord
 from zinniaspool.core.ids import ContentId, NodeId, Revision
 from zinniaspool.core.storage import KeyWrite, StoreFault
-from zinniaspool.fleet import FleetBelief, FleetStore
+from zinniaspool.fleet import FleetStore, FleetView
 
 __all__ = ["QuarantineRecordStore"]
 
@@ -45,7 +45,7 @@
     def __init__(
         self,
         node: NodeId,
-        fleet_view: FleetBelief,
+        fleet_view: FleetView,
         store: FleetStore,
         list_crashed_instances: Callable[[ContentId], list[InstanceId]],
     ) -> None:
@@ -81,7 +81,7 @@
         keys = [
             HELD_PREFIX + content
             for content in contents
-            if content in self._fleet_view.held
+            if content in self._fleet_view.quarantined
         ]
         if not keys:
             return
@@ -95,7 +95,7 @@
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             for content, due_at in list(self._write_due_at.items()):
-                if content in self._fleet_view.held:
+                if content in self._fleet_view.quarantined:
                     self._write_due_at.pop(content, None)
                 elif due_at <= loop.time():
                     await self._write(content)
--- a/src/zinniaspool/gateway/targets.py
+++ b/src/zinniaspool/gateway/targets.py
@@ -36,7 +36,7 @@
 )
 from zinniaspool.core.ids import FailureDomainId, ModelName, ServiceName
 from zinniaspool.core.messages.fleet import LoadReport
-from zinniaspool.fleet import FleetBelief
+from zinniaspool.fleet import FleetView
 
 __all__ = ["TargetIndex"]
 
@@ -65,7 +65,7 @@
         announced_rates: The request rates that instances have announced.
     """
 
-    def __init__(self, fleet_view: FleetBelief, local_domain: FailureDomainId) -> None:
+    def __init__(self, fleet_view: FleetView, local_domain: FailureDomainId) -> None:
         self._fleet_view = fleet_view
         self._local_domain = local_domain
         self._rng = random.Random()
@@ -228,7 +228,7 @@
 
     def _refresh_parts(self, catalog: Catalog) -> set[_PoolKey]:
         """Find the targets of changed parts; return the changed pools."""
-        instances = self._fleet_view.book
+        instances = self._fleet_view.instance_table
         has_no_parts = not self._parts
         changed: set[_PoolKey] = set(self._pools) if has_no_parts else set()
         for part in instances.list_partitions():
--- a/src/zinniaspool/keeper/election.py
+++ b/src/zinniaspool/keeper/election.py
@@ -20,13 +20,13 @@
 from zinniaspool.core.ids import Address, NodeId, Revision
 from zinniaspool.core.storage import KeyWrite, StoreFault
 from zinniaspool.fleet import (
-    FleetBelief,
-    FleetMesh,
     FleetStore,
-    HolderSight,
-    boot_time,
+    FleetView,
+    HolderHeartbeat,
+    PeerExchange,
+    read_boot_clock,
 )
-from zinniaspool.fleet.mesh import Lead, is_nobody_there
+from zinniaspool.fleet.mesh import HolderTerm, is_connection_refused
 
 __all__ = ["HolderElection", "find_delay_s"]
 
@@ -95,9 +95,9 @@
     def __init__(
         self,
         store: FleetStore,
-        belief: FleetBelief,
-        mesh: FleetMesh,
-        sight: HolderSight,
+        belief: FleetView,
+        mesh: PeerExchange,
+        sight: HolderHeartbeat,
         node: NodeId,
         address: Address,
         delay_s: float = 0.0,
@@ -130,21 +130,21 @@
         return self.claims and (self.confirmed or self.provisional)
 
     @property
-    def lead(self) -> Lead | None:
+    def lead(self) -> HolderTerm | None:
         """What this process tells others while it may plan."""
         if not self.holds:
             return None
-        return Lead(self._record.start, 0.0, self.provisional)
+        return HolderTerm(self._record.start, 0.0, self.provisional)
 
     @property
     def provisional(self) -> bool:
         """Whether it plans on the others' word that the store is down."""
-        return not self.confirmed and boot_time() < self._word_until
+        return not self.confirmed and read_boot_clock() < self._word_until
 
     @property
     def confirmed(self) -> bool:
         """Whether the store answered this process a moment ago."""
-        return boot_time() - self._belief.confirmed_at_boot < TRUST_S
+        return read_boot_clock() - self._belief.store_confirmed_at < TRUST_S
 
     async def run(self) -> None:
         """Stand for holder until cancelled."""
@@ -170,10 +170,10 @@
 
     async def _ask_whether_down(self) -> None:
         """Learn whether the store is away for all, or only for this VM."""
-        age_s = boot_time() - self._belief.confirmed_at_boot
-        if age_s < TRUST_S * 0.6 or boot_time() < self._word_until - WORD_S / 2:
+        age_s = read_boot_clock() - self._belief.store_confirmed_at
+        if age_s < TRUST_S * 0.6 or read_boot_clock() < self._word_until - WORD_S / 2:
             return
-        asked_at = boot_time()
+        asked_at = read_boot_clock()
         others = [
             one.peer_address
             for one in self._belief.nodes.values()
@@ -183,11 +183,11 @@
         # already; all are asked only where these reach nothing either.
         random.shuffle(others)
         some, rest = others[:MOST_ASKED], others[MOST_ASKED:]
-        words = await asyncio.gather(*map(self._mesh.ask_store, some))
+        words = await asyncio.gather(*map(self._mesh.query_store_status, some))
         if all(word is False for word in words):
-            words += await asyncio.gather(*map(self._mesh.ask_store, rest))
+            words += await asyncio.gather(*map(self._mesh.query_store_status, rest))
         if others and all(word is False for word in words):
-            if boot_time() >= self._word_until:
+            if read_boot_clock() >= self._word_until:
                 _log.warning("holding-provisionally", asked=len(others))
             self._word_until = asked_at + WORD_S
 
@@ -202,7 +202,7 @@
         if holder is None or item is None or holder.node != self._record.node:
             return
         await self._ask_whether_down()
-        if boot_time() < self._word_until and not self.confirmed:
+        if read_boot_clock() < self._word_until and not self.confirmed:
             self._hold(item.revision, inherited=True)
 
     async def _is_vacant(self) -> bool:
@@ -214,17 +214,17 @@
         if holder.node == self._record.node:
             # Written by an earlier start of this process.
             return True
-        unheard_s = self._sight.unheard_s(holder)
+        unheard_s = self._sight.compute_age_s(holder)
         if unheard_s < ENDED_S:
             return False
-        if unheard_s < UNHEARD_S and not self._sight.is_unanswered(holder):
+        if unheard_s < UNHEARD_S and not self._sight.is_unresponsive(holder):
             # Between two words of it there is nothing to doubt. Were each
             # process to try its address meanwhile, it would be asked by the
             # whole fleet all the time.
             return False
-        ended = await is_nobody_there(holder.peer_address)
+        ended = await is_connection_refused(holder.peer_address)
         unheard_s = ENDED_S if ended else UNHEARD_S
-        if self._sight.unheard_s(holder) < unheard_s:
+        if self._sight.compute_age_s(holder) < unheard_s:
             return False
         await asyncio.sleep(self._delay_s + random.random() * STAND_BACK_S)
         others = [
@@ -233,7 +233,7 @@
             if one.node not in (self._record.node, holder.node)
         ]
         others = random.sample(others, min(len(others), MOST_ASKED))
-        heard = await asyncio.gather(*map(self._mesh.ask_holder, others))
+        heard = await asyncio.gather(*map(self._mesh.query_holder_age, others))
         ages = [age for age in heard if age is not None]
         if others and not ages:
             # Whom nobody answers is cut off itself.
--- a/src/zinniaspool/keeper/holder.py
+++ b/src/zinniaspool/keeper/holder.py
@@ -21,7 +21,7 @@
 from zinniaspool.core.formation.lifecycle import GroupRun
 from zinniaspool.core.formation.planner import PhaseTransition
 from zinniaspool.core.ids import Epoch, FabricDomainId, ModelName, NodeId, ServiceName
-from zinniaspool.fleet import FleetBelief
+from zinniaspool.fleet import FleetView
 from zinniaspool.keeper.election import HolderElection
 from zinniaspool.keeper.engines import Engines
 from zinniaspool.keeper.plans import PlanBook
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        belief: FleetBelief,
+        belief: FleetView,
         election: HolderElection,
         plans: PlanBook,
         engines: Engines,
@@ -177,7 +177,7 @@
 
     async def _hold(self) -> None:
         loop = asyncio.get_running_loop()
-        self._belief.read_instances()
+        self._belief.start_decoding_instances()
         planner = FormationPlanner(
             self._next_epoch, self._load_window_s, self._free_until, self._note_move
         )
@@ -205,7 +205,7 @@
             planner.update_instances(self._belief.instances)
             # A group whose VMs are all dark changes no entry by its end: the
             # others learn of it by this word alone, seconds before the store.
-            self._belief.take_lost(planner.unreachable, loop.time())
+            self._belief.update_unreachable(planner.unreachable, loop.time())
             self._smooth_demand(loop.time())
             planner.set_demand(self._smooth)
             writes, orders = planner.step(loop.time())
@@ -221,7 +221,7 @@
             except TimeoutError:
                 pass
         self._planner = None
-        self._belief.ignore_instances()
+        self._belief.stop_decoding_instances()
         for task in list(self._tasks):
             task.cancel()
 
@@ -296,7 +296,7 @@
         found = await self._engines.ask(known.address, wait_s)
         if not isinstance(found, Ok):
             return False
-        self._belief.amend(instance, found.ok_value)
+        self._belief.apply_status(instance, found.ok_value)
         return True
 
     def _restore(self, planner: FormationPlanner) -> None:
--- a/src/zinniaspool/keeper/main.py
+++ b/src/zinniaspool/keeper/main.py
@@ -10,15 +10,15 @@
 from zinniaspool.core.messages import Hello, Message
 from zinniaspool.core.messages.fleet import StalledTarget
 from zinniaspool.fleet import (
-    FleetBelief,
+    FleetCodec,
     FleetFollower,
-    FleetMesh,
-    FleetSpelling,
     FleetStore,
-    HolderSight,
+    FleetView,
+    HolderHeartbeat,
     NodeSettings,
-    make_place,
-    run_duty,
+    PeerExchange,
+    make_location,
+    run_supervised,
 )
 from zinniaspool.http import HttpServer
 from zinniaspool.keeper.election import HolderElection, find_delay_s
@@ -62,7 +62,7 @@
         self,
         node: NodeSettings,
         store: FleetStore,
-        fleet: FleetSpelling,
+        fleet: FleetCodec,
         engines: Engines,
         metrics_port: int = 0,
     ) -> None:
@@ -73,10 +73,10 @@
         self._stop = asyncio.Event()
         self._servers: list[HttpServer] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._belief = FleetBelief(fleet, reads_instances=False)
+        self._belief = FleetView(fleet, decodes_instances=False)
         self._store = store
-        sight = HolderSight()
-        self._mesh = FleetMesh(
+        sight = HolderHeartbeat()
+        self._mesh = PeerExchange(
             node.node,
             node.failure_domain,
             self._belief,
@@ -103,7 +103,7 @@
             lambda: self._election.claims,
             self._list_seeds,
             self._mesh.sum_demands,
-            make_place(node),
+            make_location(node),
         )
         self._holder = GroupHolder(
             self._belief,
@@ -127,9 +127,9 @@
             metrics = make_keeper_metrics(self._belief, self._store, self._holder)
             self._servers.append(await metrics.listen(self._metrics_address))
         self._tasks = [
-            asyncio.create_task(run_duty("follower", self._follower.run)),
-            asyncio.create_task(run_duty("election", self._election.run)),
-            asyncio.create_task(run_duty("holder", self._holder.run)),
+            asyncio.create_task(run_supervised("follower", self._follower.run)),
+            asyncio.create_task(run_supervised("election", self._election.run)),
+            asyncio.create_task(run_supervised("holder", self._holder.run)),
         ]
         await self._stop.wait()
         await self._stay_through_outage()
--- a/src/zinniaspool/keeper/metrics.py
+++ b/src/zinniaspool/keeper/metrics.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from zinniaspool.fleet import FleetBelief, FleetStore
+from zinniaspool.fleet import FleetStore, FleetView
 from zinniaspool.fleet.metrics import add_fleet_metrics
 from zinniaspool.keeper.holder import GroupHolder
 from zinniaspool.telemetry import Sample
@@ -13,7 +13,7 @@
 
 
 def make_keeper_metrics(
-    belief: FleetBelief, store: FleetStore, holder: GroupHolder
+    belief: FleetView, store: FleetStore, holder: GroupHolder
 ) -> MetricsPage:
     """Return the page of a control process."""
     page = MetricsPage()
--- a/src/zinniaspool/platform/__init__.py
+++ b/src/zinniaspool/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: nothing else knows its spelling."""
+"""Adapter to the users' platform; no other package knows its formats."""
--- a/src/zinniaspool/platform/control.py
+++ b/src/zinniaspool/platform/control.py
@@ -1,18 +1,19 @@
-"""Starts the control program, a moment after the VM's entry program."""
+"""Starts the control program, shortly after the VM's entry program."""
 
 import time
 
 __all__ = ["main"]
 
-START_S = 0.3
-"""Seconds that the entry program has the VM's processor for itself: callers
-wait for it, and nobody waits for this one within its first second. Both load
-for about as long, and side by side each took twice that."""
+START_DELAY_S = 0.3
+"""How long the entry program has the VM's processor for itself, in seconds.
+Callers wait for it, and nothing needs the control program within its first
+second. Both load for about as long, and twice as long when both load at once.
+"""
 
 
 def main() -> None:
     """Run the program."""
-    time.sleep(START_S)
+    time.sleep(START_DELAY_S)
     from zinniaspool.platform.keeper import run
 
     run()
--- a/src/zinniaspool/platform/entries.py
+++ b/src/zinniaspool/platform/entries.py
@@ -1,9 +1,9 @@
-"""What instances write of themselves, and what engines report.
+"""Decodes the records of instances in the store and the status of engines.
 
-Anybody may write below the instances' prefix, so that an entry is believed
-only where all of it is as an instance would write it. Taken in part, a foreign
-entry would name an address at which nobody answers for the service, and
-callers' requests would be sent there.
+Any client of the store can write below the instances' prefix, so a record is
+accepted only if all of it is as an instance would write it. If the valid part
+of a foreign record were accepted, it could name an address that does not serve
+the service, and callers' requests would be sent there.
 """
 
 import re
@@ -31,21 +31,21 @@
     ServiceName,
 )
 
-__all__ = ["ENTRIES_PREFIX", "amend_entry", "read_entry", "read_status"]
+__all__ = ["INSTANCES_PREFIX", "apply_status", "decode_instance", "decode_status"]
 
-ENTRIES_PREFIX = "servers/"
+INSTANCES_PREFIX = "servers/"
 
-_MOST_COUNT = 2**53
-"""Largest whole number that every JSON codec keeps; epochs and counts are far
-below it, and one beyond it could not be passed on to other processes."""
+_MAX_COUNT = 2**53
+"""Largest integer that every JSON codec preserves. Epochs and counts are far
+below it, and a larger number could not be passed on to other processes."""
 
-_Count = Annotated[int, msgspec.Meta(ge=0, le=_MOST_COUNT)]
+_Count = Annotated[int, msgspec.Meta(ge=0, le=_MAX_COUNT)]
 
 _ID = re.compile(r"[\w.:-]{1,128}", re.ASCII)
-"""Ids that can stand in a header field."""
+"""Ids that are valid in a header field."""
 
-_MOST_PORT = 65535
-"""Largest TCP port: ports have sixteen bits."""
+_MAX_PORT = 65535
+"""Largest TCP port; ports have sixteen bits."""
 
 
 class _Group(msgspec.Struct):
@@ -59,18 +59,18 @@
     name: str
 
 
-class _Entry(msgspec.Struct, rename="kebab"):
-    # Each instance writes the first eight, also those that nothing here needs.
+class _InstanceRecord(msgspec.Struct, rename="kebab"):
+    # Every instance writes the first eight, including those not used here.
     service: str
     address: str
     zone: str
-    # Of the software that runs, not of the entry.
+    # Version of the software that runs, not of the record.
     version: str
     slots: _Count
     state: str
     cold_left_ms: float
     seq_no: _Count
-    # Unix milliseconds of the process's start.
+    # When the instance's process started, in Unix milliseconds.
     born: _Count | msgspec.UnsetType = msgspec.UNSET
     models: list[_Model] = []
     # The fabric domain.
@@ -86,39 +86,39 @@
     group: _Group | None = None
     waiting: int = 0
     running: int = 0
-    # Over 1: the VM takes this many times as long as it should.
+    # Above 1, the VM takes this many times as long as it should.
     pace: float = 1.0
 
 
-_STATES = {one.value: one for one in MembershipState}
+_STATES = {state.value: state for state in MembershipState}
 _INSTANCE_STATES = {
     "ready": InstanceState.READY,
     "draining": InstanceState.LEAVING,
 }
-# What decoding raises: a deeply nested value ends the decoder's recursion.
-_UNREADABLE = (msgspec.MsgspecError, RecursionError)
+# What decoding raises; a deeply nested value exceeds its recursion limit.
+_DECODE_ERRORS = (msgspec.MsgspecError, RecursionError)
 
 
-def read_entry(key: str, value: bytes) -> Result[Instance, str]:
-    """Return the instance of an entry, or why it names none."""
-    name = key.removeprefix(ENTRIES_PREFIX)
-    if not _ID.fullmatch(name):
-        return Err("an id that no header can carry")
+def decode_instance(key: str, value: bytes) -> Result[Instance, str]:
+    """Return the instance of a record, or why the record is invalid."""
+    instance = key.removeprefix(INSTANCES_PREFIX)
+    if not _ID.fullmatch(instance):
+        return Err("the id is not valid in a header field")
     try:
-        raw = msgspec.json.decode(value, type=_Entry)
-    except _UNREADABLE as error:
+        raw = msgspec.json.decode(value, type=_InstanceRecord)
+    except _DECODE_ERRORS as error:
         return Err(str(error))
     state = _INSTANCE_STATES.get(raw.state)
     if state is None:
         return Err(f"unknown state {raw.state!r}")
-    if not _is_address(raw.address):
-        return Err(f"no address {raw.address!r}")
-    membership = _read_group(raw.group)
+    if not _is_ip_and_port(raw.address):
+        return Err(f"not an IP address and port: {raw.address!r}")
+    membership = _decode_membership(raw.group)
     if isinstance(membership, Err):
         return membership
     return Ok(
         Instance(
-            InstanceId(name),
+            InstanceId(instance),
             ServiceName(raw.service),
             Address(raw.address),
             FailureDomainId(raw.zone),
@@ -126,53 +126,55 @@
             raw.slots,
             None if raw.domain is None else FabricDomainId(str(raw.domain)),
             ModelName(raw.models[0].name) if raw.models else None,
-            tuple(ModelName(one) for one in raw.staged),
+            tuple(ModelName(model) for model in raw.staged),
             membership.ok_value,
-            _read_born(raw.born),
+            _decode_start(raw.born),
         )
     )
 
 
-def amend_entry(value: bytes, status: EngineStatus) -> Result[bytes, str]:
-    """Return an entry as its engine would write it now."""
+def apply_status(value: bytes, status: EngineStatus) -> Result[bytes, str]:
+    """Return an instance record updated by its engine's status."""
     try:
-        entry = msgspec.json.decode(value, type=dict[str, object])
-    except _UNREADABLE as error:
+        record = msgspec.json.decode(value, type=dict[str, object])
+    except _DECODE_ERRORS as error:
         return Err(str(error))
-    held = status.membership
-    entry["staged"] = list(status.staged)
-    entry["models"] = [] if status.model is None else [{"name": status.model}]
-    entry["group"] = None
+    membership = status.membership
+    record["staged"] = list(status.staged)
+    record["models"] = [] if status.model is None else [{"name": status.model}]
+    record["group"] = None
     if status.born is not None:
-        entry["born"] = status.born
-    if held is not None:
-        entry["group"] = _Group(held.group, held.epoch, held.rank, held.state.value)
-    return Ok(msgspec.json.encode(entry))
+        record["born"] = status.born
+    if membership is not None:
+        record["group"] = _Group(
+            membership.group, membership.epoch, membership.rank, membership.state.value
+        )
+    return Ok(msgspec.json.encode(record))
 
 
-def read_status(body: bytes) -> Result[EngineStatus, str]:
-    """Return an engine's answer about itself, or why it cannot be read."""
+def decode_status(body: bytes) -> Result[EngineStatus, str]:
+    """Return the status of an engine's answer, or why it is invalid."""
     try:
         raw = msgspec.json.decode(body, type=_Report)
-    except _UNREADABLE as error:
+    except _DECODE_ERRORS as error:
         return Err(str(error))
-    membership = _read_group(raw.group)
+    membership = _decode_membership(raw.group)
     if isinstance(membership, Err):
         return membership
     return Ok(
         EngineStatus(
             membership.ok_value,
             ModelName(raw.models[0].name) if raw.models else None,
-            tuple(ModelName(one) for one in raw.staged),
+            tuple(ModelName(name) for name in raw.staged),
             raw.running,
             raw.waiting,
             raw.pace,
-            _read_born(raw.born),
+            _decode_start(raw.born),
         )
     )
 
 
-def _read_group(raw: _Group | None) -> Result[Membership | None, str]:
+def _decode_membership(raw: _Group | None) -> Result[Membership | None, str]:
     if raw is None or not raw.name:
         return Ok(None)
     state = _STATES.get(raw.state)
@@ -181,14 +183,14 @@
     return Ok(Membership(GroupId(raw.name), Epoch(raw.epoch), raw.rank, state))
 
 
-def _read_born(raw: int | msgspec.UnsetType) -> int | None:
+def _decode_start(raw: int | msgspec.UnsetType) -> int | None:
     return None if isinstance(raw, msgspec.UnsetType) else raw
 
 
-def _is_address(text: str) -> bool:
+def _is_ip_and_port(text: str) -> bool:
     host, _, port = text.rpartition(":")
     try:
         ip_address(host.strip("[]"))
     except ValueError:
         return False
-    return port.isascii() and port.isdigit() and 0 < int(port) <= _MOST_PORT
+    return port.isascii() and port.isdigit() and 0 < int(port) <= _MAX_PORT
--- a/src/zinniaspool/platform/entry.py
+++ b/src/zinniaspool/platform/entry.py
@@ -1,10 +1,10 @@
-"""Starts the entry program: opens the callers' port first, then the rest.
+"""Starts the entry program, with the callers' port open before it loads.
 
-Loading the program takes three to eight tenths of a second on a VM of one
-core, while its other program starts too. A caller that connects meanwhile
-would be refused, and after a power cut of all VMs each caller is refused
-everywhere until it has no tries left. An open port keeps its connection
-until the program can read what it has sent.
+Loading the program takes 0.3 to 0.8 s on a VM with one core, while the VM's
+control program starts too. A caller that connects meanwhile would be refused.
+After a power loss of all VMs, every VM would refuse it until it has no tries
+left. With the port open, the kernel accepts the connection and keeps what the
+caller sends until the program can read it.
 """
 
 import os
@@ -17,23 +17,23 @@
 
 __all__ = ["listen_early", "main", "open_callers_port"]
 
-BACKLOG = 1024
-"""Connections that wait for the program: what 1,000 callers a second open
-while it loads."""
+LISTEN_BACKLOG = 1024
+"""Connections that can wait for the program: as many as 1,000 callers a second
+open while it loads."""
 
 
 def listen_early(host: str, port: int) -> socket.socket:
-    """Return a socket that listens, and does not block.
+    """Return a listening, non-blocking socket.
 
-    Its protocol is named: asyncio turns off the delay of small segments only
-    where it is, and events of streams would wait for the caller's next
-    acknowledgement, some 40 ms.
+    It is created with an explicit protocol, since asyncio sets ``TCP_NODELAY``
+    only on such sockets. Without it, events of streams would wait for the
+    caller's next acknowledgement, about 40 ms.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind((host, port))
-        listener.listen(BACKLOG)
+        listener.listen(LISTEN_BACKLOG)
         listener.setblocking(False)
     except OSError:
         listener.close()
@@ -42,10 +42,9 @@
 
 
 def open_callers_port() -> socket.socket | None:
-    """Listen where callers connect, by the settings; None where that fails.
+    """Listen at the callers' address of the settings; return None on failure.
 
-    Whatever is wrong with the settings is told by the program itself, which
-    reads all of them.
+    The program itself reads all settings later and reports faults in them.
     """
     try:
         with open(os.environ[FILE_VARIABLE], "rb") as file:
@@ -62,7 +61,7 @@
     """Run the program."""
     opened = time.monotonic()
     listener = open_callers_port()
-    # Only now, with the port open, the libraries are loaded.
+    # The libraries are loaded only now, when the port is open.
     from zinniaspool.platform.gateway import run
 
     run(listener, opened)
--- a/src/zinniaspool/platform/gateway.py
+++ b/src/zinniaspool/platform/gateway.py
@@ -8,7 +8,7 @@
 from zinniaspool.platform import wire
 from zinniaspool.platform.kvstore import KvStore
 from zinniaspool.platform.program import run_on_platform
-from zinniaspool.platform.spelling import PlatformSpelling
+from zinniaspool.platform.spelling import PlatformCodec
 
 __all__ = ["make_gateway", "run"]
 
@@ -19,17 +19,17 @@
     listener: socket.socket | None = None,
     opened: float | None = None,
 ) -> GatewayProcess:
-    """Return an entry process that speaks the platform's protocols.
+    """Return an entry process that uses the platform's protocols.
 
     Args:
-        node: The platform's settings.
-        metrics_port: Where metrics are served; 0 for nowhere.
-        listener: Listens where callers connect already, if anything does.
-        opened: Since when, in seconds of the steady clock.
+        node: The settings that the platform wrote.
+        metrics_port: Port at which metrics are served; 0 for none.
+        listener: Socket that already listens for callers, if there is one.
+        opened: When it was opened, in seconds of the monotonic clock.
     """
     store = KvStore(HttpClient(connect_s=CONNECT_TIMEOUT_S), node.store_address)
     return GatewayProcess(
-        node, store, PlatformSpelling(), wire, metrics_port, listener, opened
+        node, store, PlatformCodec(), wire, metrics_port, listener, opened
     )
 
 
@@ -37,8 +37,8 @@
     """Run the program.
 
     Args:
-        listener: Listens where callers connect already, if anything does.
-        opened: Since when, in seconds of the steady clock.
+        listener: Socket that already listens for callers, if there is one.
+        opened: When it was opened, in seconds of the monotonic clock.
     """
 
     def make(node: NodeSettings, metrics_port: int) -> GatewayProcess:
--- a/src/zinniaspool/platform/keeper.py
+++ b/src/zinniaspool/platform/keeper.py
@@ -6,22 +6,22 @@
 from zinniaspool.platform.kvstore import KvStore
 from zinniaspool.platform.orders import EngineClient
 from zinniaspool.platform.program import run_on_platform
-from zinniaspool.platform.spelling import PlatformSpelling
+from zinniaspool.platform.spelling import PlatformCodec
 
-__all__ = ["make_keeper", "run"]
+__all__ = ["make_controller", "run"]
 
 
-def make_keeper(node: NodeSettings, metrics_port: int = 0) -> KeeperProcess:
-    """Return a control process that speaks the platform's protocols.
+def make_controller(node: NodeSettings, metrics_port: int = 0) -> KeeperProcess:
+    """Return a control process that uses the platform's protocols.
 
     Args:
-        node: The platform's settings.
-        metrics_port: Where metrics are served; 0 for nowhere.
+        node: The settings that the platform wrote.
+        metrics_port: Port at which metrics are served; 0 for none.
     """
     return KeeperProcess(
         node,
         KvStore(HttpClient(connect_s=CONNECT_S), node.store_address),
-        PlatformSpelling(),
+        PlatformCodec(),
         EngineClient(HttpClient(connect_s=CONNECT_S)),
         metrics_port,
     )
@@ -29,4 +29,4 @@
 
 def run() -> None:
     """Run the program."""
-    run_on_platform("control", make_keeper)
+    run_on_platform("control", make_controller)
--- a/src/zinniaspool/platform/kvstore.py
+++ b/src/zinniaspool/platform/kvstore.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's key-value store."""
+"""Client of the platform's key-value store."""
 
 from base64 import b64decode, b64encode
 from binascii import Error as Base64Error
@@ -31,15 +31,17 @@
 
 __all__ = ["KvStore"]
 
-CALL_S = 0.8
-"""Longest wait for an answer, in seconds. The store answers in milliseconds;
-a slow one takes some sixty times as long and still answers in this."""
+CALL_TIMEOUT_S = 0.8
+"""Longest wait for an answer, in seconds. The store answers within
+milliseconds; a slow store takes about sixty times as long and still answers in
+time."""
 
-PAGE_S = 2.2
-"""The same for an answer that is a page of up to a megabyte, in seconds: after
-a loss of power of 195 VMs, all ask for some 0.3 MB at the same moment, which
-is a second of the store's link. Given up too soon and asked for anew, the
-pages fill the link for many seconds and hardly anybody has one."""
+PAGE_TIMEOUT_S = 2.2
+"""Longest wait for a page of up to a megabyte, in seconds. After a power loss
+of 195 VMs, all of them request about 0.3 MB at the same moment, which takes
+the store's link a second. If processes gave up too soon and requested the
+pages again, those would fill the link for many seconds and hardly any process
+would get one."""
 
 _T = TypeVar("_T")
 
@@ -48,7 +50,7 @@
     key: str
     revision: int
     value: str = ""
-    # Only in a watch's events: the key was removed at this revision.
+    # Only in the events of a watch: the key was removed at this revision.
     removed: bool = False
 
 
@@ -72,15 +74,15 @@
 
 
 class KvStore:
-    """Calls to the store.
+    """Implements ``FleetStore`` by calls to the platform's store.
 
-    An answer that did not come leaves open whether a write was done, and it
-    may still be done seconds later: such a call ends in ``UNKNOWN``, and its
-    caller reads the key before it believes either.
+    If no answer to a write arrives, it is unknown whether the store applied
+    it, and the store may still apply it seconds later. Such a call returns
+    ``UNKNOWN``, and its caller must read the key to find out.
 
     Args:
         client: Sends the requests.
-        address: The store.
+        address: The store's address.
     """
 
     def __init__(self, client: HttpClient, address: Address) -> None:
@@ -97,17 +99,17 @@
         status, body = answer.ok_value
         if status == HTTPStatus.NOT_FOUND:
             return Ok(None)
-        return _decode(body, _Item).and_then(_read_item)
+        return _decode(body, _Item).and_then(_decode_item)
 
     async def probe(self) -> bool:
-        """Tell whether the store answers at all."""
+        """Return whether the store answers at all."""
         return not isinstance(await self.get(HOLDER_KEY), Err)
 
     async def read(self, prefix: str) -> Result[RangeResult, StoreFault]:
-        """Return all items below a prefix, from as many pages as it takes.
+        """Return all items below a prefix, page by page.
 
-        The pages are no snapshot. What changed between them is told by a
-        watch that goes on from the first page's revision.
+        The pages are not a snapshot. A watch from the revision of the first
+        page returns what changed between them.
         """
         items: list[StoredItem] = []
         as_of: int | None = None
@@ -116,7 +118,9 @@
             target = f"/v1/kv-range?path-prefix={quote(prefix, safe='')}"
             if after:
                 target += f"&after={quote(after, safe='')}"
-            answer = await self._call(StoreCall.RANGE, "GET", target, answer_s=PAGE_S)
+            answer = await self._call(
+                StoreCall.RANGE, "GET", target, timeout_s=PAGE_TIMEOUT_S
+            )
             if isinstance(answer, Err):
                 return answer
             page = _decode(answer.ok_value[1], _Range)
@@ -125,7 +129,7 @@
             found = page.ok_value
             as_of = found.as_of if as_of is None else as_of
             for raw in found.items:
-                item = _read_item(raw)
+                item = _decode_item(raw)
                 if isinstance(item, Err):
                     return item
                 items.append(item.ok_value)
@@ -134,15 +138,19 @@
             after = found.items[-1].key
 
     async def watch(
-        self, prefix: str, after: Revision, wait_s: float, overdue_s: float = CALL_S
+        self,
+        prefix: str,
+        after: Revision,
+        wait_s: float,
+        overdue_s: float = CALL_TIMEOUT_S,
     ) -> Result[WatchResult, StoreFault]:
         """Wait for changes below a prefix later than a revision.
 
         Args:
-            prefix: Of the keys.
+            prefix: Prefix of the keys.
             after: The revision.
-            wait_s: For how long the store may wait for a change.
-            overdue_s: How much later its answer may come.
+            wait_s: How long the store may wait for a change, in seconds.
+            overdue_s: How much later its answer may arrive, in seconds.
         """
         wait_ms = max(1, int(wait_s * 1000))
         target = (
@@ -150,14 +158,14 @@
             f"&after={after}&wait-ms={wait_ms}"
         )
         answer = await self._call(
-            StoreCall.WATCH, "GET", target, answer_s=wait_s + overdue_s
+            StoreCall.WATCH, "GET", target, timeout_s=wait_s + overdue_s
         )
         if isinstance(answer, Err):
             return answer
         status, body = answer.ok_value
         if status == HTTPStatus.GONE:
             return Ok(WatchResult([], after, complete=False))
-        return _decode(body, _Watch).and_then(_read_watch)
+        return _decode(body, _Watch).and_then(_decode_watch)
 
     async def commit(
         self,
@@ -165,22 +173,22 @@
         writes: Sequence[KeyWrite] = (),
         removals: Sequence[str] = (),
     ) -> Result[Revision, StoreFault]:
-        """Write and remove keys if all expected ones are as expected.
+        """Write and remove keys if all expected keys have their revisions.
 
         Args:
-            expected: Keys and their revisions; 0 for an absent one.
-            writes: What to write.
+            expected: Keys and their revisions; 0 for an absent key.
+            writes: Keys to write, with their values and leases.
             removals: Keys to remove.
         """
         body = {
             "expected": [{"key": key, "revision": rev} for key, rev in expected],
             "set-keys": [
                 {
-                    "key": one.key,
-                    "value": b64encode(one.value).decode(),
-                    "lease": one.lease,
+                    "key": write.key,
+                    "value": b64encode(write.value).decode(),
+                    "lease": write.lease,
                 }
-                for one in writes
+                for write in writes
             ],
             "remove": list(removals),
         }
@@ -190,19 +198,19 @@
         status, data = answer.ok_value
         if status == HTTPStatus.NOT_FOUND:
             return Err(StoreFault.NO_LEASE)
-        return _decode(data, _Written).map(lambda one: Revision(one.revision))
+        return _decode(data, _Written).map(lambda written: Revision(written.revision))
 
     async def grant(self, ttl_s: float) -> Result[LeaseNumber, StoreFault]:
-        """Return a new lease; keys written under it go when it ends."""
+        """Return a new lease, whose end removes the keys written under it."""
         body = {"ttl-ms": int(ttl_s * 1000)}
         answer = await self._call(StoreCall.GRANT, "POST", "/v1/kv-lease", body)
         if isinstance(answer, Err):
             return answer
         granted = _decode(answer.ok_value[1], _Granted)
-        return granted.map(lambda one: LeaseNumber(one.lease))
+        return granted.map(lambda grant: LeaseNumber(grant.lease))
 
     async def renew(self, lease: LeaseNumber) -> Result[None, StoreFault]:
-        """Start a lease's time anew."""
+        """Renew a lease for its full lifetime."""
         answer = await self._call(StoreCall.RENEW, "POST", f"/v1/kv-keep/{lease}", {})
         return _require_lease(answer)
 
@@ -217,29 +225,29 @@
         method: str,
         target: str,
         body: object = None,
-        answer_s: float = CALL_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> Result[tuple[int, bytes], StoreFault]:
         data = b"" if body is None else msgspec.json.encode(body)
         headers = Headers.of(content_type="application/json") if data else Headers()
         request = Request(method, target, headers, data)
         try:
-            status, answer = await self._client.fetch(self._address, request, answer_s)
+            status, answer = await self._client.fetch(self._address, request, timeout_s)
         except TransportError as error:
             fault = StoreFault.UNKNOWN
             if error.failure is TransportFailure.NOT_SENT:
                 fault = StoreFault.UNAVAILABLE
             self.calls[kind, fault.value] += 1
             return Err(fault)
-        failed = _FAULTS.get(status)
-        if failed is None and status not in _ANSWERS:
-            failed = StoreFault.UNKNOWN
-        self.calls[kind, "ok" if failed is None else failed.value] += 1
-        if failed is not None:
-            return Err(failed)
+        rejection = _FAULTS.get(status)
+        if rejection is None and status not in _DECODED_STATUSES:
+            rejection = StoreFault.UNKNOWN
+        self.calls[kind, "ok" if rejection is None else rejection.value] += 1
+        if rejection is not None:
+            return Err(rejection)
         return Ok((status, answer))
 
 
-_ANSWERS = frozenset({200, 404, 410})
+_DECODED_STATUSES = frozenset({200, 404, 410})
 _FAULTS = {
     412: StoreFault.CONFLICT,
     429: StoreFault.LIMITED,
@@ -254,7 +262,7 @@
         return Err(StoreFault.UNKNOWN)
 
 
-def _read_item(raw: _Item) -> Result[StoredItem, StoreFault]:
+def _decode_item(raw: _Item) -> Result[StoredItem, StoreFault]:
     try:
         value = b64decode(raw.value, validate=True)
     except Base64Error:
@@ -262,10 +270,10 @@
     return Ok(StoredItem(raw.key, value, Revision(raw.revision)))
 
 
-def _read_watch(watch: _Watch) -> Result[WatchResult, StoreFault]:
+def _decode_watch(watch: _Watch) -> Result[WatchResult, StoreFault]:
     events = []
     for raw in watch.events:
-        item = _read_item(raw)
+        item = _decode_item(raw)
         if isinstance(item, Err):
             return item
         value = None if raw.removed else item.ok_value.value
--- a/src/zinniaspool/platform/nodefile.py
+++ b/src/zinniaspool/platform/nodefile.py
@@ -14,7 +14,7 @@
 
 
 class NodeFileError(Exception):
-    """The settings file cannot be used; the message names what is wrong."""
+    """The settings file can't be used; the message names the fault."""
 
 
 class _Listen(msgspec.Struct, rename="kebab"):
@@ -33,7 +33,7 @@
 
 
 class _Bounds(msgspec.Struct):
-    # Seconds that a process has between the stop signal and its end.
+    # Time from the stop signal to the process's end, in seconds.
     grace_s: float = msgspec.field(default=8.0, name="grace-s")
     # Longest lifetime of an address answer that callers honour, in seconds.
     ttl_max_s: float = 5.0
@@ -45,7 +45,7 @@
 
 
 class _Limits(msgspec.Struct, rename="kebab"):
-    # Part of a core that is this VM's, and how many times as fast it is.
+    # Share of a core that the VM has, and how many times as fast the core is.
     cpu_share: float = 1.0
     cores: float = 1.0
     link_mbps: float = 1000.0
@@ -67,13 +67,14 @@
 
 
 def read_node_file(path: Path | None = None) -> NodeSettings:
-    """Read the settings file; unknown fields are passed over.
+    """Read the settings file; unknown fields are ignored.
 
     Args:
-        path: Where it is; by default where the platform's variable says.
+        path: The file; by default the one that the platform's environment
+            variable names.
 
     Raises:
-        NodeFileError: It is missing, no TOML, or lacks a field.
+        NodeFileError: The file is missing, is not TOML, or lacks a field.
     """
     if path is None:
         named = os.environ.get(FILE_VARIABLE)
@@ -87,22 +88,22 @@
         raise NodeFileError(f"{path}: {error}") from error
     except msgspec.ValidationError as error:
         raise NodeFileError(f"{path}: {error}") from error
-    return _translate(file)
+    return _make_settings(file)
 
 
-def _translate(file: _File) -> NodeSettings:
+def _make_settings(file: _File) -> NodeSettings:
     bounds, listen = file.bounds, file.listen_addrs
     return NodeSettings(
         NodeId(file.node_name),
         file.ip,
         FailureDomainId(file.zone),
         file.region,
-        _address(listen.front),
-        _address(listen.ready),
-        _address(listen.directory),
+        _parse_address(listen.front),
+        _parse_address(listen.ready),
+        _parse_address(listen.directory),
         _find_control_address(file),
         file.internal_ports[0],
-        tuple(Address(one) for one in file.seeds),
+        tuple(Address(seed) for seed in file.seeds),
         Address(file.platform.address),
         file.platform.ttl_min_ms / 1000,
         file.heartbeat_ms / 1000,
@@ -120,10 +121,10 @@
 
 
 def _find_control_address(file: _File) -> Address:
-    """Return where the control process of the VM listens.
+    """Return the address at which the VM's control process listens.
 
-    Its own settings name the address; those of the VM's other process do not.
-    But all VMs use the same ports, so that any seed tells the port.
+    Only the control process's own settings name the address, not those of the
+    VM's entry process. All VMs use the same port, so any seed has it.
     """
     if file.listen_addrs.control:
         return Address(file.listen_addrs.control)
@@ -132,5 +133,5 @@
     return Address(f"{file.ip}:{file.internal_ports[0] + 1}")
 
 
-def _address(text: str) -> Address | None:
+def _parse_address(text: str) -> Address | None:
     return Address(text) if text else None
--- a/src/zinniaspool/platform/orders.py
+++ b/src/zinniaspool/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines and questions to them, as the platform spells them."""
+"""Client of the engines: sends them orders and requests their status."""
 
 from http import HTTPStatus
 
@@ -15,13 +15,13 @@
     TransportError,
     TransportFailure,
 )
-from zinniaspool.platform.entries import read_status
+from zinniaspool.platform.entries import decode_status
 
 __all__ = ["EngineClient"]
 
-ORDER_S = 0.4
-"""Longest wait for the answer to an order, in seconds: engines answer within
-milliseconds or not at all, and an order is repeated in either case."""
+ORDER_TIMEOUT_S = 0.4
+"""Longest wait for the answer to an order, in seconds. Engines answer within
+milliseconds or not at all, and an unanswered order is sent again."""
 
 _OUTCOMES = {
     200: OrderOutcome.HOLDS,
@@ -40,7 +40,7 @@
 
 
 class EngineClient:
-    """Gives orders to engines and asks for their state.
+    """Sends orders to engines and requests their status.
 
     Args:
         client: Sends the requests.
@@ -50,15 +50,15 @@
         self._client = client
 
     async def send(self, address: Address, order: GroupOrder) -> OrderOutcome:
-        """Give an order; tell what is known of its outcome."""
+        """Send an order and return what is known of its outcome."""
         headers = Headers.of(
             content_type="application/json",
             x_zinniaspool_expect_instance=order.instance,
         )
-        body = msgspec.json.encode(_spell_order(order))
+        body = msgspec.json.encode(_format_order(order))
         request = Request("POST", "/v1/order", headers, body)
         try:
-            status, _ = await self._client.fetch(address, request, ORDER_S)
+            status, _ = await self._client.fetch(address, request, ORDER_TIMEOUT_S)
         except TransportError as error:
             if error.failure is TransportFailure.NOT_SENT:
                 return OrderOutcome.NOT_SENT
@@ -68,7 +68,7 @@
     async def ask(
         self, address: Address, timeout_s: float
     ) -> Result[EngineStatus, TransportFailure]:
-        """Ask an engine for its state."""
+        """Request an engine's status."""
         request = Request("GET", "/v1/report")
         try:
             status, body = await self._client.fetch(address, request, timeout_s)
@@ -76,13 +76,13 @@
             return Err(error.failure)
         if status != HTTPStatus.OK:
             return Err(TransportFailure.MALFORMED)
-        found = read_status(body)
-        if isinstance(found, Err):
+        decoded = decode_status(body)
+        if isinstance(decoded, Err):
             return Err(TransportFailure.MALFORMED)
-        return Ok(found.ok_value)
+        return Ok(decoded.ok_value)
 
 
-def _spell_order(order: GroupOrder) -> dict[str, object]:
+def _format_order(order: GroupOrder) -> dict[str, object]:
     body: dict[str, object] = {"op": _ACTIONS[order.action]}
     if order.group is not None:
         body |= {"group": order.group, "epoch": order.epoch}
--- a/src/zinniaspool/platform/program.py
+++ b/src/zinniaspool/platform/program.py
@@ -1,4 +1,4 @@
-"""How a program starts on the users' platform: settings, logs, signals."""
+"""Start of a program on the users' platform: settings, logs and signals."""
 
 import asyncio
 import signal
@@ -16,19 +16,19 @@
 
 _log = structlog.get_logger(__name__)
 
-BAD_SETTINGS = 2
-"""Exit status where the settings cannot be used."""
+BAD_SETTINGS_STATUS = 2
+"""Exit status when the settings can't be used."""
 
 
 class PlatformProcess(Protocol):
-    """A process that runs until it is told to stop."""
+    """A process that runs until it is stopped."""
 
     def stop(self) -> None:
-        """Tell it to stop in order."""
+        """Begin a graceful stop."""
         ...
 
     async def run(self) -> None:
-        """Run it."""
+        """Run the process until it has stopped."""
         ...
 
 
@@ -38,19 +38,19 @@
     """Run a process with the settings that the platform wrote.
 
     Args:
-        program: Its name in the log.
-        make: Makes it, given its settings and the port for metrics, which is
-            the command's only argument.
+        program: The program's name in the log.
+        make: Creates the process from its settings and the port for metrics,
+            which is the command's only argument.
 
     Raises:
-        SystemExit: The settings or the argument cannot be used.
+        SystemExit: The settings or the argument can't be used.
     """
     try:
         port = int(sys.argv[1]) if len(sys.argv) > 1 else 0
         node = read_node_file()
     except (NodeFileError, ValueError) as error:
         print(error, file=sys.stderr)
-        raise SystemExit(BAD_SETTINGS) from error
+        raise SystemExit(BAD_SETTINGS_STATUS) from error
     configure_logs(program, node.node)
     asyncio.run(_run(lambda: make(node, port)))
 
@@ -60,7 +60,7 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, process.stop)
-    # Nothing that a process keeps changes in the file while it runs; without
-    # a handler the signal would end it.
+    # The settings of a running process don't change; without a handler SIGHUP
+    # would end it.
     loop.add_signal_handler(signal.SIGHUP, lambda: _log.info("settings-signal"))
     await process.run()
--- a/src/zinniaspool/platform/rules.py
+++ b/src/zinniaspool/platform/rules.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the platform spells it."""
+"""Decodes the operator's configuration in the platform's format."""
 
 from typing import Any
 
@@ -18,15 +18,16 @@
 )
 from zinniaspool.core.ids import CustomerId, ModelName, ServiceName
 
-__all__ = ["RULES_KEY", "read_rules"]
+__all__ = ["RULES_KEY", "decode_rules"]
 
 RULES_KEY = "op/config"
 
-LEAST_SILENCE_S = 2.0
-SILENT_OBJECTIVES = 4.0
-SILENT_PAUSES = 8.0
-"""Callers leave a stream that says nothing for the longest of these: seconds,
-times its objective, times the longest pause that is on time."""
+MIN_CALLER_TIMEOUT_S = 2.0
+CALLER_TIMEOUT_OBJECTIVES = 4.0
+CALLER_TIMEOUT_PAUSES = 8.0
+"""Callers leave a stream without an event after the longest of these: a number
+of seconds, a multiple of the stream's latency objective, and a multiple of the
+longest pause that is on time."""
 
 
 class _Weighted(msgspec.Struct):
@@ -40,11 +41,11 @@
     path_prefix: str
     kind: str
     timeout_ms: float
-    # The latency objective: to the first event of a stream.
+    # The latency objective; of a stream, until its first event.
     target_latency_ms: float = 0.0
     priority: int = 5
     service: str = ""
-    # In place of `service` where several share the route's requests.
+    # Replaces `service` where several services share the route's requests.
     traffic_split: list[_Weighted] = []
     max_attempts: int = 1
     allow_anonymous: bool = False
@@ -98,7 +99,7 @@
 
 class _Config(msgspec.Struct):
     version: int
-    # Each entry is decoded by itself, so that one bad route costs only itself.
+    # `decode_rules` converts each route by itself, and not strictly.
     routes: list[Any] = []
     services: list[_Service] = []
     limits: _Limits = msgspec.field(default_factory=_Limits)
@@ -112,12 +113,12 @@
 }
 
 
-def read_rules(value: bytes) -> Result[Catalog, str]:
-    """Return the rules, or why they cannot be read."""
+def decode_rules(value: bytes) -> Result[Catalog, str]:
+    """Return the decoded rules, or why they are invalid."""
     try:
         config = msgspec.json.decode(value, type=_Config)
         routes = [
-            _read_route(msgspec.convert(raw, _Route, strict=False))
+            _decode_route(msgspec.convert(raw, _Route, strict=False))
             for raw in config.routes
         ]
     except msgspec.MsgspecError as error:
@@ -125,14 +126,17 @@
     by_host: dict[str, list[RouteSpec]] = {}
     for route in routes:
         by_host.setdefault(route.host, []).append(route)
-    for found in by_host.values():
-        found.sort(key=lambda one: -len(one.path_prefix))
+    for host_routes in by_host.values():
+        host_routes.sort(key=lambda route: -len(route.path_prefix))
     limits = config.limits
     return Ok(
         Catalog(
             config.version,
-            {host: tuple(found) for host, found in by_host.items()},
-            {ServiceName(one.name): _read_service(one) for one in config.services},
+            {host: tuple(host_routes) for host, host_routes in by_host.items()},
+            {
+                ServiceName(service.name): _decode_service(service)
+                for service in config.services
+            },
             {
                 key: CustomerSpec(CustomerId(tenant.name), tenant.priority)
                 for tenant in config.tenants or ()
@@ -149,11 +153,12 @@
     )
 
 
-def _read_route(raw: _Route) -> RouteSpec:
+def _decode_route(raw: _Route) -> RouteSpec:
     shares = tuple(
-        ServiceShare(ServiceName(one.service), one.weight) for one in raw.traffic_split
+        ServiceShare(ServiceName(part.service), part.weight)
+        for part in raw.traffic_split
     )
-    # A kind that is not known here is treated as the strictest one.
+    # An unknown kind is treated as the strictest one.
     kind = _KINDS.get(raw.kind, RequestKind.NON_IDEMPOTENT)
     objective_s, pause_s = raw.target_latency_ms / 1000, raw.gap_aim_ms / 1000
     return RouteSpec(
@@ -169,22 +174,32 @@
         raw.allow_anonymous,
         raw.stream_resume,
         pause_s if kind is RequestKind.STREAM else None,
-        max(LEAST_SILENCE_S, SILENT_OBJECTIVES * objective_s, SILENT_PAUSES * pause_s),
+        max(
+            MIN_CALLER_TIMEOUT_S,
+            CALLER_TIMEOUT_OBJECTIVES * objective_s,
+            CALLER_TIMEOUT_PAUSES * pause_s,
+        ),
     )
 
 
-def _read_service(raw: _Service) -> ServiceSpec:
+def _decode_service(raw: _Service) -> ServiceSpec:
     return ServiceSpec(
-        ServiceName(raw.name), None if raw.engine is None else _read_engine(raw.engine)
+        ServiceName(raw.name),
+        None if raw.engine is None else _decode_engine(raw.engine),
     )
 
 
-def _read_engine(raw: _Engine) -> EngineSpec:
+def _decode_engine(raw: _Engine) -> EngineSpec:
     models = tuple(
         ModelSpec(
-            ModelName(one.name), one.size, one.share, one.pace, one.load_s, one.warm_s
+            ModelName(model.name),
+            model.size,
+            model.share,
+            model.pace,
+            model.load_s,
+            model.warm_s,
         )
-        for one in raw.models
+        for model in raw.models
     )
     return EngineSpec(
         raw.slots,
--- a/src/zinniaspool/platform/spelling.py
+++ b/src/zinniaspool/platform/spelling.py
@@ -1,28 +1,28 @@
-"""The platform's spelling of what stands in its store."""
+"""Codec for the records that the platform keeps in its store."""
 
 from result import Result
 
 from zinniaspool.core.fleet import Catalog, EngineStatus, Instance
-from zinniaspool.platform.entries import ENTRIES_PREFIX, amend_entry, read_entry
-from zinniaspool.platform.rules import RULES_KEY, read_rules
+from zinniaspool.platform.entries import INSTANCES_PREFIX, apply_status, decode_instance
+from zinniaspool.platform.rules import RULES_KEY, decode_rules
 
-__all__ = ["PlatformSpelling"]
+__all__ = ["PlatformCodec"]
 
 
-class PlatformSpelling:
-    """Entries and rules as the platform writes them."""
+class PlatformCodec:
+    """Decodes instance records and rules in the platform's formats."""
 
-    entries_prefix = ENTRIES_PREFIX
+    instances_prefix = INSTANCES_PREFIX
     rules_key = RULES_KEY
 
-    def read_entry(self, key: str, value: bytes) -> Result[Instance, str]:
-        """Return the instance of an entry, or why it names none."""
-        return read_entry(key, value)
+    def decode_instance(self, key: str, value: bytes) -> Result[Instance, str]:
+        """Return the instance of a record, or why the record is invalid."""
+        return decode_instance(key, value)
 
-    def amend_entry(self, value: bytes, status: EngineStatus) -> Result[bytes, str]:
-        """Return an entry as its engine would write it now."""
-        return amend_entry(value, status)
+    def apply_status(self, value: bytes, status: EngineStatus) -> Result[bytes, str]:
+        """Return an instance record updated by its engine's status."""
+        return apply_status(value, status)
 
-    def read_rules(self, value: bytes) -> Result[Catalog, str]:
-        """Return the rules, or why they cannot be read."""
-        return read_rules(value)
+    def decode_rules(self, value: bytes) -> Result[Catalog, str]:
+        """Return the decoded rules, or why they are invalid."""
+        return decode_rules(value)
--- a/src/zinniaspool/platform/variables.py
+++ b/src/zinniaspool/platform/variables.py
@@ -1,6 +1,6 @@
-"""Variables by which the platform tells a process where things are."""
+"""Environment variables that the platform sets for each process."""
 
 __all__ = ["FILE_VARIABLE"]
 
 FILE_VARIABLE = "ZINNIASPOOL_NODE_FILE"
-"""Names the settings file."""
+"""Names the variable that holds the path of the settings file."""
--- a/src/zinniaspool/platform/wire.py
+++ b/src/zinniaspool/platform/wire.py
@@ -1,4 +1,8 @@
-"""Headers of callers and instances, translated at this boundary."""
+"""Headers of callers and instances, translated to and from the core's types.
+
+The module's functions implement the ``CallCodec`` protocol that the gateway
+package defines.
+"""
 
 import math
 from collections.abc import Iterable
@@ -24,22 +28,22 @@
 _REQUEST_ID = _PREFIX + "request-id"
 _DEADLINE = _PREFIX + "deadline-ms"
 _EXPECTED = _PREFIX + "expect-instance"
-_TENANT = _PREFIX + "tenant"
+_CUSTOMER = _PREFIX + "tenant"
 _MODEL = _PREFIX + "model"
-_TOKENS = _PREFIX + "token-count"
-_HINT = _PREFIX + "length-hint"
+_TOKEN_COUNTS = _PREFIX + "token-count"
+_LENGTH_HINT = _PREFIX + "length-hint"
 _URGENCY = _PREFIX + "request-priority"
-_UNRUN = _PREFIX + "not-executed"
+_NOT_EXECUTED = _PREFIX + "not-executed"
 _LOAD = _PREFIX + "runner-load"
-_LIMIT = "server-limit"
+_RATE_LIMIT = "server-limit"
 _RESUME = "last-event-id"
 
-_MISDIRECTED = 421
+_MISDIRECTED_STATUS = 421
 """HTTP status of an instance that is not the expected one."""
 
-# What concerns one connection only (RFC 9110, 7.6.1), and the body's framing,
-# which is made anew.
-_HOP = frozenset(
+# Headers that concern one connection only (RFC 9110, 7.6.1), and the body's
+# framing, which is created anew.
+_HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -52,35 +56,38 @@
         b"expect",
     }
 )
-# Never believed of a caller: set here, or for nobody upstream to see.
-_OWN = frozenset(
+# Never forwarded from a caller: this module sets them, or no upstream may see
+# them.
+_NOT_FORWARDED = frozenset(
     name.encode()
-    for name in ("authorization", _DEADLINE, _EXPECTED, _TENANT, _URGENCY, _RESUME)
+    for name in ("authorization", _DEADLINE, _EXPECTED, _CUSTOMER, _URGENCY, _RESUME)
 )
-_INTERNAL = frozenset(
+_INSTANCE_ONLY = frozenset(
     name.encode() for name in (_LOAD, _PREFIX + "instance-id", "at-server")
 )
 
 
 def parse_terms(request: Request) -> RequestTerms:
-    """Return what a caller says; what cannot be read counts as unsaid."""
+    """Return the terms in a caller's headers; ignore invalid values."""
     headers = request.headers
-    tokens = _numbers(headers.get(_TOKENS))
+    tokens = _parse_integers(headers.get(_TOKEN_COUNTS))
     deadline = headers.get(_DEADLINE)
     model = headers.get(_MODEL)
     return RequestTerms(
         RequestId(headers.get(_REQUEST_ID) or ""),
-        None if _number(deadline) is None else (_number(deadline) or 0) / 1000,
+        None
+        if _parse_integer(deadline) is None
+        else (_parse_integer(deadline) or 0) / 1000,
         ModelName(model) if model else None,
         tokens[0] if tokens else 0,
         tokens[1] if len(tokens) > 1 else 0,
-        _number(headers.get(_HINT)),
-        _number(headers.get(_RESUME)),
+        _parse_integer(headers.get(_LENGTH_HINT)),
+        _parse_integer(headers.get(_RESUME)),
     )
 
 
 def parse_key(request: Request) -> str | None:
-    """Return the key that a request carries, or None."""
+    """Return the API key of a request, or None."""
     value = request.headers.get("authorization")
     if value is None:
         return None
@@ -99,25 +106,27 @@
     """Return the headers with which a request goes to an instance.
 
     Args:
-        request: The caller's.
-        instance: Which instance must answer: its address may have become
-            another's.
-        left_s: How long the caller still waits.
-        customer: Whose request it is, if anybody's.
-        urgency: 0 to 9, 0 first; None for the usual.
-        resume_after: The last event passed on, or None for all.
+        request: The caller's request.
+        instance: The instance that must answer; another instance may have
+            its address by now.
+        left_s: How long the caller still waits, in seconds.
+        customer: The customer whose request it is, or None.
+        urgency: 0 to 9, where 0 goes first; None for the default.
+        resume_after: The last event that was forwarded; None to get all.
     """
-    named = _named_by_connection(request.headers)
+    connection_headers = _list_connection_headers(request.headers)
     fields = [
         (name, value)
         for name, value in request.headers.raw()
-        if name not in _HOP and name not in _OWN and name not in named
+        if name not in _HOP_BY_HOP
+        and name not in _NOT_FORWARDED
+        and name not in connection_headers
     ]
     headers = Headers(fields)
     headers.add(_DEADLINE, str(max(1, int(left_s * 1000))))
     headers.add(_EXPECTED, instance)
     if customer is not None:
-        headers.add(_TENANT, customer.name)
+        headers.add(_CUSTOMER, customer.name)
     if urgency is not None:
         headers.add(_URGENCY, str(urgency))
     if resume_after is not None:
@@ -126,65 +135,68 @@
 
 
 def make_caller_headers(headers: Headers) -> Headers:
-    """Return an instance's headers as its answer's reader gets them."""
-    named = _named_by_connection(headers)
+    """Return the headers of an instance's answer that the caller gets."""
+    connection_headers = _list_connection_headers(headers)
     return Headers(
         (name, value)
         for name, value in headers.raw()
-        if name not in _HOP and name not in _INTERNAL and name not in named
+        if name not in _HOP_BY_HOP
+        and name not in _INSTANCE_ONLY
+        and name not in connection_headers
     )
 
 
 def has_not_run(status: int, headers: Headers) -> bool:
-    """Tell whether an instance promises that it has not run the request."""
-    return status == _MISDIRECTED or headers.get(_UNRUN) is not None
+    """Return whether an answer guarantees that the request was not run."""
+    return status == _MISDIRECTED_STATUS or headers.get(_NOT_EXECUTED) is not None
 
 
 def parse_answered_request(headers: Headers) -> RequestId | None:
-    """Return the request that an answer belongs to, or None if unsaid."""
+    """Return the request that an answer names, or None if it names none."""
     value = headers.get(_REQUEST_ID)
     return None if value is None else RequestId(value)
 
 
 def parse_load(headers: Headers) -> InstanceLoad | None:
-    """Return an instance's load as an answer tells it, or None."""
-    match _numbers(headers.get(_LOAD)):
+    """Return the load report in an instance's answer, or None."""
+    match _parse_integers(headers.get(_LOAD)):
         case [running, waiting, slots]:
             return InstanceLoad(running, waiting, slots)
     return None
 
 
 def parse_limit(headers: Headers) -> float | None:
-    """Return the requests a second that an instance takes, or None if unsaid.
+    """Return how many requests a second an instance accepts.
 
-    What is no number of requests counts as unsaid.
+    Returns:
+        None if the answer does not name a limit or it is not a valid rate.
     """
     try:
-        per_s = float(headers.get(_LIMIT) or "nan")
+        per_s = float(headers.get(_RATE_LIMIT) or "nan")
     except ValueError:
         return None
     return per_s if 0.0 <= per_s < math.inf else None
 
 
 def add_fault_headers(headers: Headers, request: RequestId, code: str) -> None:
-    """Mark an answer of our own with its request and the error's kind."""
+    """Add the request and the error's kind to this process's own answer."""
     if request:
         headers.add(_REQUEST_ID, request)
     headers.add("x-error-kind", code)
 
 
-def _named_by_connection(headers: Headers) -> frozenset[bytes]:
+def _list_connection_headers(headers: Headers) -> frozenset[bytes]:
     value = headers.get("connection")
     if value is None:
         return frozenset()
     return frozenset(part.strip().lower().encode() for part in value.split(","))
 
 
-def _number(text: str | None) -> int | None:
+def _parse_integer(text: str | None) -> int | None:
     return int(text) if text is not None and text.strip().isdecimal() else None
 
 
-def _numbers(text: str | None) -> list[int]:
+def _parse_integers(text: str | None) -> list[int]:
     parts: Iterable[str] = () if text is None else text.split(",")
-    found = [_number(part) for part in parts]
-    return [one for one in found if one is not None]
+    numbers = [_parse_integer(part) for part in parts]
+    return [number for number in numbers if number is not None]
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -10,7 +10,7 @@
 from zinniaspool.http import Headers, HttpClient, Request, TransportError
 from zinniaspool.keeper.main import KeeperProcess
 from zinniaspool.platform.gateway import make_gateway
-from zinniaspool.platform.keeper import make_keeper
+from zinniaspool.platform.keeper import make_controller
 from zinniaspool_standins import installation as standins
 from zinniaspool_standins.installation import KEY, SIZES, free_address
 
@@ -98,7 +98,7 @@
             100.0,
             5.0,
         )
-        gateway, keeper = make_gateway(file), make_keeper(file)
+        gateway, keeper = make_gateway(file), make_controller(file)
         tasks = [
             asyncio.create_task(gateway.run()),
             asyncio.create_task(keeper.run()),
--- a/tests/test_belief.py
+++ b/tests/test_belief.py
@@ -1,4 +1,4 @@
-"""What a process believes of instances, whoever wrote their entries."""
+"""Instances in a process's fleet view, with records of any writer."""
 
 import msgspec
 import pytest
@@ -6,10 +6,10 @@
 
 from zinniaspool.core.fleet import EngineStatus, InstanceId, MirrorChange, MirrorEvent
 from zinniaspool.core.ids import ModelName, Revision
-from zinniaspool.fleet import FleetBelief
-from zinniaspool.platform.spelling import PlatformSpelling
+from zinniaspool.fleet import FleetView
+from zinniaspool.platform.spelling import PlatformCodec
 
-ENTRY = {
+RECORD = {
     "service": "drafting",
     "address": "10.128.0.9:8080",
     "zone": "hall-a",
@@ -24,86 +24,88 @@
     "staged": [],
     "group": {"name": "g7", "epoch": 12, "rank": 1, "state": "ready"},
 }
-ONE, TWO = InstanceId("i-1"), InstanceId("i-2")
+FIRST, SECOND = InstanceId("i-1"), InstanceId("i-2")
 
 
-class Believer:
-    """A belief that is told of one key after the other."""
+class ViewWriter:
+    """A fleet view that receives the records of instances one by one."""
 
     def __init__(self) -> None:
-        self.belief = FleetBelief(PlatformSpelling())
+        self.view = FleetView(PlatformCodec())
         self.revision = 0
 
     def write(self, instance: InstanceId, value: bytes | None) -> list[MirrorChange]:
         self.revision += 1
         revision = Revision(self.revision)
         event = MirrorEvent(f"servers/{instance}", value, revision)
-        changes = self.belief.mirror.apply([event], revision, 0.0)
-        self.belief.take(changes)
+        changes = self.view.mirror.apply([event], revision, 0.0)
+        self.view.apply_changes(changes)
         return changes
 
     def put(self, instance: InstanceId, **changes: object) -> None:
-        self.write(instance, msgspec.json.encode({**ENTRY, **changes}))
+        self.write(instance, msgspec.json.encode({**RECORD, **changes}))
 
 
 @pytest.mark.parametrize("value", [b"\xff", b"{}", b'{"service":3}'])
-def test_an_entry_of_another_writer_costs_only_itself(value: bytes) -> None:
-    """Callers would be sent where the entry before it said.
+def test_an_invalid_record_removes_only_its_own_instance(value: bytes) -> None:
+    """Without it callers would be sent to the address of the earlier record.
 
-    Somebody writes over one instance's entry. It names none any more, all
-    others hold, and one line tells of it however often it is written.
+    Another client of the store overwrites an instance's record. The instance
+    is removed, all others stay, and the fault is logged once however often the
+    record is written.
     """
-    told = Believer()
-    told.put(ONE)
-    told.put(TWO)
+    writer = ViewWriter()
+    writer.put(FIRST)
+    writer.put(SECOND)
     with capture_logs() as lines:
         for _ in range(5):
-            told.write(ONE, value)
-    assert list(told.belief.instances) == [TWO]
-    assert [one["event"] for one in lines].count("entry-unreadable") == 1
-    told.put(ONE, born=1000)
-    assert sorted(told.belief.instances) == [ONE, TWO]
+            writer.write(FIRST, value)
+    assert list(writer.view.instances) == [SECOND]
+    assert [line["event"] for line in lines].count("entry-unreadable") == 1
+    writer.put(FIRST, born=1000)
+    assert sorted(writer.view.instances) == [FIRST, SECOND]
 
 
-def test_an_instance_that_starts_again_is_in_no_group_of_before() -> None:
-    """Its group's callers would wait for a VM that holds nothing.
+def test_a_restarted_instance_is_no_longer_in_its_group() -> None:
+    """Otherwise callers of its group wait for a VM without a loaded model.
 
-    The instance starts again, and the newest that the store has is from
-    before: it is cut off from the store. It says so itself when asked.
+    The instance restarts while it is cut off from the store, so its record is
+    from before the restart. Its own status report shows the restart.
     """
-    told = Believer()
-    told.put(ONE)
+    writer = ViewWriter()
+    writer.put(FIRST)
     status = EngineStatus(None, None, (), 0, 0, 1.0, born=2000)
-    told.belief.amend(ONE, status)
-    known = told.belief.instances[ONE]
+    writer.view.apply_status(FIRST, status)
+    known = writer.view.instances[FIRST]
     assert (known.membership, known.model, known.started_at_ms) == (None, None, 2000)
 
 
-def test_what_an_earlier_life_wrote_is_not_believed_after_a_later_one() -> None:
-    """The old life's write comes in late, after the new life's own.
+def test_a_late_write_of_an_earlier_incarnation_is_ignored() -> None:
+    """A write from before a restart arrives after the first one since.
 
-    It names a group that nobody holds; the same after the entry was gone for
-    a moment, and where the old life's answer to a question comes in late.
+    It names a group that the instance is no longer in. The same holds after
+    the record was removed for a moment, and for a late status report of the
+    earlier incarnation.
     """
-    told = Believer()
-    told.put(ONE, born=2000, group=None)
-    told.put(ONE, born=1000)
-    assert told.belief.instances[ONE].membership is None
-    told.write(ONE, None)
-    told.put(ONE, born=1000)
-    assert ONE not in told.belief.instances
-    told.put(ONE, born=2000, group=None)
-    old = EngineStatus(None, None, (ModelName("small"),), 0, 0, 1.0, born=1000)
-    told.belief.amend(ONE, old)
-    assert told.belief.instances[ONE].staged == ()
-
-
-def test_the_end_of_a_life_is_told_from_its_start() -> None:
-    told = Believer()
-    told.put(ONE)
-    assert not told.belief.is_over(ONE, 1000)
-    assert not told.belief.is_over(ONE, None)
-    told.put(ONE, born=2000)
-    assert told.belief.is_over(ONE, 1000)
-    told.write(ONE, None)
-    assert told.belief.is_over(ONE, 2000)
+    writer = ViewWriter()
+    writer.put(FIRST, born=2000, group=None)
+    writer.put(FIRST, born=1000)
+    assert writer.view.instances[FIRST].membership is None
+    writer.write(FIRST, None)
+    writer.put(FIRST, born=1000)
+    assert FIRST not in writer.view.instances
+    writer.put(FIRST, born=2000, group=None)
+    late = EngineStatus(None, None, (ModelName("small"),), 0, 0, 1.0, born=1000)
+    writer.view.apply_status(FIRST, late)
+    assert writer.view.instances[FIRST].staged == ()
+
+
+def test_the_end_of_an_incarnation_is_detected_by_its_start() -> None:
+    writer = ViewWriter()
+    writer.put(FIRST)
+    assert not writer.view.has_ended(FIRST, 1000)
+    assert not writer.view.has_ended(FIRST, None)
+    writer.put(FIRST, born=2000)
+    assert writer.view.has_ended(FIRST, 1000)
+    writer.write(FIRST, None)
+    assert writer.view.has_ended(FIRST, 2000)
--- a/tests/test_early_port.py
+++ b/tests/test_early_port.py
@@ -12,10 +12,10 @@
 from zinniaspool.platform.entry import listen_early
 
 
-def test_a_caller_that_came_while_the_program_loaded_is_answered() -> None:
-    """A caller connects and asks; nobody reads yet, and it is not refused.
+def test_a_caller_that_connects_while_the_program_loads_is_answered() -> None:
+    """A connection is not refused while no program reads from it yet.
 
-    The program takes over the listening socket and answers.
+    The program then takes over the listening socket and answers.
     """
 
     async def answer(exchange: Exchange) -> None:
@@ -36,10 +36,10 @@
     asyncio.run(test())
 
 
-def test_small_segments_are_not_held_back_on_the_early_port() -> None:
-    """Events of a stream would come 40 ms late each, waiting for an answer.
+def test_small_segments_are_sent_without_delay_on_the_early_port() -> None:
+    """Otherwise each event of a stream waits 40 ms for an acknowledgement.
 
-    asyncio turns the delay off only on sockets whose protocol is named.
+    asyncio turns the delay off only on sockets with an explicit protocol.
     """
     listener = listen_early("127.0.0.1", 0)
     caller = socket.create_connection(listener.getsockname(), timeout=1.0)
@@ -48,11 +48,11 @@
     try:
         assert accepted.proto == socket.IPPROTO_TCP
     finally:
-        for one in (accepted, caller, listener):
-            one.close()
+        for connection in (accepted, caller, listener):
+            connection.close()
 
 
-def test_a_port_in_use_is_told_and_leaves_no_socket_open() -> None:
+def test_a_port_in_use_is_an_error_and_leaves_no_socket_open() -> None:
     with (
         socket.create_server(("127.0.0.1", 0)) as other,
         pytest.raises(OSError, match="in use"),
--- a/tests/test_kept_lease.py
+++ b/tests/test_kept_lease.py
@@ -1,15 +1,15 @@
-"""The lease of an entry process, through a store that fails."""
+"""The lease of an entry process while the store fails."""
 
 import asyncio
 
 from result import Err, Ok, Result
 
 from zinniaspool.core.storage import LeaseNumber, StoreFault
-from zinniaspool.fleet import KeptLease
+from zinniaspool.fleet import RenewedLease
 
 
 class FailingStore:
-    """A store that answers no renewal while it is down."""
+    """A store that rejects renewals while it is down."""
 
     def __init__(self) -> None:
         self.down = False
@@ -23,26 +23,27 @@
         return Err(StoreFault.UNAVAILABLE) if self.down else Ok(None)
 
 
-def test_a_renewal_that_failed_is_tried_again_soon() -> None:
-    """Callers would not be told of a VM that serves, for seconds.
+def test_a_failed_renewal_is_retried_soon() -> None:
+    """Otherwise callers don't learn of a VM that serves, for seconds.
 
-    The store is away when the lease is to be renewed. Tried again only after
-    the usual pause, the lease would lapse although the store is long back.
+    The store is unavailable when the lease is due for renewal. If the renewal
+    were retried only after the usual pause, the lease would lapse although the
+    store has long been back.
     """
     store = FailingStore()
     pauses: list[float] = []
 
     async def test() -> None:
-        lease = KeptLease(store, 12.0)  # type: ignore[arg-type]
+        lease = RenewedLease(store, 12.0)  # type: ignore[arg-type]
         loop = asyncio.get_running_loop()
-        assert await lease.keep()
+        assert await lease.renew_or_replace()
         store.down = True
-        assert not await lease.keep()
+        assert not await lease.renew_or_replace()
         began = loop.time()
-        await lease.pause()
+        await lease.wait_until_due()
         pauses.append(loop.time() - began)
         store.down = False
-        assert await lease.keep()
+        assert await lease.renew_or_replace()
         assert lease.trusted
 
     asyncio.run(test())
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Which part of the product may import which."""
+"""Which packages of the product may import which."""
 
 import ast
 from pathlib import Path
@@ -18,19 +18,19 @@
 
 
 def list_imports(module: Path) -> set[str]:
-    """Return the parts of the product that a module imports."""
+    """Return the packages of the product that a module imports."""
     names = []
     for node in ast.walk(ast.parse(module.read_text(encoding="utf-8"))):
         if isinstance(node, ast.ImportFrom) and node.module is not None:
-            names += [f"{node.module}.{one.name}" for one in node.names]
+            names += [f"{node.module}.{alias.name}" for alias in node.names]
         elif isinstance(node, ast.Import):
-            names += [one.name for one in node.names]
+            names += [alias.name for alias in node.names]
     return {name.split(".")[1] for name in names if name.split(".")[0] == "zinniaspool"}
 
 
 @pytest.mark.parametrize("part", MAY_IMPORT)
 def test_a_part_imports_only_what_it_may_know(part: str) -> None:
-    """Decisions would come to depend on one platform's protocols."""
+    """Otherwise decisions come to depend on one platform's protocols."""
     foreign = {
         f"{module.relative_to(SOURCES)}: {name}"
         for module in (SOURCES / part).rglob("*.py")
