--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's spelling, decoded once; bad input harms nothing."""
+"""The platform's formats: valid input is decoded, invalid input refused."""
 
 import asyncio
 import json
@@ -21,13 +21,13 @@
 from zinniaspool.http import Headers, HttpClient, Request
 from zinniaspool.platform import wire
 from zinniaspool.platform.entries import (
-    amend_entry,
-    read_entry,
-    read_status,
+    apply_status,
+    decode_instance,
+    decode_status,
 )
 from zinniaspool.platform.kvstore import KvStore
 from zinniaspool.platform.nodefile import NodeFileError, read_node_file
-from zinniaspool.platform.rules import read_rules
+from zinniaspool.platform.rules import decode_rules
 from zinniaspool_standins.installation import free_address, make_rules
 from zinniaspool_standins.pagestore import PageStore
 
@@ -50,7 +50,7 @@
 address = "10.200.1.7:8223"
 """
 
-_ENTRY = {
+_RECORD = {
     "service": "drafting",
     "address": "10.128.0.9:8080",
     "zone": "hall-a",
@@ -67,7 +67,7 @@
 _OPTIONAL = ("models", "staged", "domain", "group")
 
 
-def test_settings_are_read_and_unknown_ones_passed_over(tmp_path: Path) -> None:
+def test_settings_are_read_and_unknown_ones_ignored(tmp_path: Path) -> None:
     path = tmp_path / "node.toml"
     path.write_text(_FILE)
     node = read_node_file(path)
@@ -97,7 +97,7 @@
 def test_rules_become_routes_by_longest_prefix() -> None:
     rules = make_rules(7, ["k"])
     rules["routes"].append({**rules["routes"][1], "path-prefix": "/cards/urgent/"})
-    catalog = read_rules(msgspec.json.encode(rules)).unwrap()
+    catalog = decode_rules(msgspec.json.encode(rules)).unwrap()
     assert catalog.version == 7
     found = catalog.find_route("CARE.example", "/cards/urgent/1")
     assert found is not None and found.path_prefix == "/cards/urgent/"
@@ -111,35 +111,42 @@
     )
     engine = catalog.services[stream.shares[0].service].engine
     assert engine is not None
-    assert [(one.name, one.size) for one in engine.models] == [
+    assert [(model.name, model.size) for model in engine.models] == [
         ("large", 3),
         ("small", 2),
     ]
 
 
-def test_a_kind_that_is_not_known_runs_at_most_once() -> None:
-    """A caller of a route of a new kind must not have it run twice."""
+def test_a_request_of_an_unknown_kind_runs_at_most_once() -> None:
+    """A request to a route of a new kind must not run twice."""
     rules = make_rules(7, ["k"])
     rules["routes"][2]["kind"] = "something-new"
-    catalog = read_rules(msgspec.json.encode(rules)).unwrap()
+    catalog = decode_rules(msgspec.json.encode(rules)).unwrap()
     route = catalog.find_route("care.example", "/receipts/1")
     assert route is not None and not route.repeatable
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b'{"version":"x"}', b"\xff"])
-def test_rules_that_cannot_be_read_are_refused(value: bytes) -> None:
-    assert isinstance(read_rules(value), Err)
+def test_invalid_rules_are_refused(value: bytes) -> None:
+    assert isinstance(decode_rules(value), Err)
 
 
-def test_an_entry_tells_of_its_group() -> None:
-    one = read_entry("servers/i-1", msgspec.json.encode(_ENTRY)).unwrap()
-    assert (one.id, one.model, one.staged) == ("i-1", "large", ("small",))
-    assert one.membership is not None
-    assert (one.membership.group, one.membership.state) == ("g7", MembershipState.OPEN)
+def test_a_record_contains_its_group() -> None:
+    instance = decode_instance("servers/i-1", msgspec.json.encode(_RECORD)).unwrap()
+    assert (instance.id, instance.model, instance.staged) == (
+        "i-1",
+        "large",
+        ("small",),
+    )
+    assert instance.membership is not None
+    assert (instance.membership.group, instance.membership.state) == (
+        "g7",
+        MembershipState.OPEN,
+    )
 
 
-def _spoil(**changes: object) -> bytes:
-    return msgspec.json.encode({**_ENTRY, **changes})
+def _make_record(**changes: object) -> bytes:
+    return msgspec.json.encode({**_RECORD, **changes})
 
 
 _GROUP = {"name": "g7", "epoch": 12, "rank": 0, "state": "open"}
@@ -153,94 +160,102 @@
         b"[]",
         b'{"service":3}',
         b'{"x":' + b"[" * 100_000,
-        _spoil(state="resting"),
-        _spoil(state=None),
-        _spoil(slots="13"),
-        _spoil(slots=-1),
-        _spoil(slots=1.5),
-        _spoil(address="nowhere"),
-        _spoil(address="10.0.0.1:http"),
-        _spoil(address="10.0.0.1:0"),
-        _spoil(zone=7),
-        _spoil(staged="small"),
-        _spoil(models={"name": "large"}),
-        _spoil(born="1700000000000"),
-        _spoil(born=1.5),
-        _spoil(born=None),
-        _spoil(group="g7"),
-        _spoil(group={"name": "g7", "state": "open"}),
-        _spoil(group={**_GROUP, "state": "odd"}),
-        _spoil(group={**_GROUP, "epoch": 2**70}),
+        _make_record(state="resting"),
+        _make_record(state=None),
+        _make_record(slots="13"),
+        _make_record(slots=-1),
+        _make_record(slots=1.5),
+        _make_record(address="nowhere"),
+        _make_record(address="10.0.0.1:http"),
+        _make_record(address="10.0.0.1:0"),
+        _make_record(zone=7),
+        _make_record(staged="small"),
+        _make_record(models={"name": "large"}),
+        _make_record(born="1700000000000"),
+        _make_record(born=1.5),
+        _make_record(born=None),
+        _make_record(group="g7"),
+        _make_record(group={"name": "g7", "state": "open"}),
+        _make_record(group={**_GROUP, "state": "odd"}),
+        _make_record(group={**_GROUP, "epoch": 2**70}),
     ],
 )
-def test_an_entry_that_is_not_an_instances_names_none(value: bytes) -> None:
-    """Requests would go to an address at which nobody answers for the service.
+def test_a_record_of_another_writer_is_invalid(value: bytes) -> None:
+    """Otherwise requests go to an address that does not serve the service.
 
-    Another writer's entry looks like an instance's in part: a state that does
-    not exist, a count that is a text, a field of another shape.
+    The record of another writer is like an instance's only in part: it has an
+    unknown state, a count that is a text, or a field of another type.
     """
-    assert isinstance(read_entry("servers/i-1", value), Err)
+    assert isinstance(decode_instance("servers/i-1", value), Err)
 
 
-@pytest.mark.parametrize("missing", [one for one in _ENTRY if one not in _OPTIONAL])
-def test_an_entry_without_a_field_that_all_instances_write_names_none(
+@pytest.mark.parametrize(
+    "missing", [field for field in _RECORD if field not in _OPTIONAL]
+)
+def test_a_record_without_a_field_that_all_instances_write_is_invalid(
     missing: str,
 ) -> None:
-    entry = {name: value for name, value in _ENTRY.items() if name != missing}
-    assert isinstance(read_entry("servers/i-1", msgspec.json.encode(entry)), Err)
+    record = {name: value for name, value in _RECORD.items() if name != missing}
+    assert isinstance(decode_instance("servers/i-1", msgspec.json.encode(record)), Err)
 
 
 @pytest.mark.parametrize("key", ["servers/", "servers/a b", "servers/a\r\nx: y"])
-def test_an_id_that_no_header_can_carry_names_none(key: str) -> None:
-    assert isinstance(read_entry(key, _spoil()), Err)
+def test_an_id_that_no_header_can_carry_is_invalid(key: str) -> None:
+    assert isinstance(decode_instance(key, _make_record()), Err)
 
 
-def test_a_start_is_read_of_entries_and_answers() -> None:
-    entry = read_entry("servers/i-1", _spoil(born=1_700_000_000_123)).unwrap()
-    assert entry.started_at_ms == 1_700_000_000_123
-    assert read_entry("servers/i-1", _spoil()).unwrap().started_at_ms is None
-    assert read_status(b'{"born":5}').unwrap().born == 5
+def test_the_start_time_is_decoded_from_records_and_reports() -> None:
+    instance = decode_instance(
+        "servers/i-1", _make_record(born=1_700_000_000_123)
+    ).unwrap()
+    assert instance.started_at_ms == 1_700_000_000_123
+    assert decode_instance("servers/i-1", _make_record()).unwrap().started_at_ms is None
+    assert decode_status(b'{"born":5}').unwrap().born == 5
 
 
 _JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: (
         st.lists(inner, max_size=3)
-        | st.dictionaries(st.sampled_from([*_ENTRY, "born", "name", "x"]), inner)
+        | st.dictionaries(st.sampled_from([*_RECORD, "born", "name", "x"]), inner)
     ),
     max_leaves=12,
 )
-_BYTES = st.binary(max_size=64) | _JSON.map(lambda one: json.dumps(one).encode())
-_CHANGED = st.dictionaries(st.sampled_from([*_ENTRY, "born"]), _JSON, max_size=3).map(
-    lambda changes: json.dumps({**_ENTRY, **changes}).encode()
+_BYTES = st.binary(max_size=64) | _JSON.map(lambda value: json.dumps(value).encode())
+_CHANGED = st.dictionaries(st.sampled_from([*_RECORD, "born"]), _JSON, max_size=3).map(
+    lambda changes: json.dumps({**_RECORD, **changes}).encode()
 )
 
 
 @given(value=_BYTES | _CHANGED)
-def test_any_entry_is_read_or_refused_and_can_be_amended(value: bytes) -> None:
-    """One entry that stops a process would stop every process of the fleet."""
+def test_any_record_is_decoded_or_refused_and_can_be_updated(value: bytes) -> None:
+    """A record that crashes one process would crash every one of the fleet."""
     status = EngineStatus(None, None, (), 0, 0, 1.0, 5)
-    amended = amend_entry(value, status)
-    read = read_entry("servers/i-1", value)
-    if isinstance(read, Ok):
-        again = read_entry("servers/i-1", amended.unwrap()).unwrap()
+    updated = apply_status(value, status)
+    decoded = decode_instance("servers/i-1", value)
+    if isinstance(decoded, Ok):
+        again = decode_instance("servers/i-1", updated.unwrap()).unwrap()
         assert (again.started_at_ms, again.membership) == (5, None)
-        assert again.address == read.ok_value.address
+        assert again.address == decoded.ok_value.address
 
 
-def test_an_amended_entry_says_what_the_engine_said() -> None:
-    report = {**_ENTRY, "group": None, "models": [], "staged": ["large"], "pace": 1.0}
-    status = read_status(msgspec.json.encode(report)).unwrap()
+def test_an_updated_record_contains_the_status_of_its_engine() -> None:
+    report = {**_RECORD, "group": None, "models": [], "staged": ["large"], "pace": 1.0}
+    status = decode_status(msgspec.json.encode(report)).unwrap()
     assert isinstance(status, EngineStatus)
-    value = amend_entry(msgspec.json.encode(_ENTRY), status).unwrap()
-    one = read_entry("servers/i-1", value).unwrap()
-    assert (one.membership, one.model, one.staged) == (None, None, ("large",))
-    assert one.address == "10.128.0.9:8080"
+    value = apply_status(msgspec.json.encode(_RECORD), status).unwrap()
+    instance = decode_instance("servers/i-1", value).unwrap()
+    assert (instance.membership, instance.model, instance.staged) == (
+        None,
+        None,
+        ("large",),
+    )
+    assert instance.address == "10.128.0.9:8080"
 
 
-def test_headers_upstream_hold_what_is_ours_and_not_the_key() -> None:
+def test_upstream_headers_are_set_here_and_lack_the_api_key() -> None:
     """A caller that sets our headers must not act for another customer."""
-    asked = Request(
+    request = Request(
         "POST",
         "/x",
         Headers.of(
@@ -254,7 +269,7 @@
             x_kept="2",
         ),
     )
-    sent = wire.make_upstream_headers(asked, InstanceId("i-1"), 1.2345, None, None, 7)
+    sent = wire.make_upstream_headers(request, InstanceId("i-1"), 1.2345, None, None, 7)
     names = dict(sent.raw())
     assert b"authorization" not in names and b"x-private" not in names
     assert b"x-zinniaspool-tenant" not in names
@@ -268,12 +283,12 @@
     ("text", "key"),
     [("Token abc", "abc"), ("token  abc ", "abc"), ("Bearer abc", None), ("", None)],
 )
-def test_keys_are_read(text: str, key: str | None) -> None:
+def test_api_keys_are_read(text: str, key: str | None) -> None:
     request = Request("GET", "/", Headers.of(authorization=text))
     assert wire.parse_key(request) == key
 
 
-def test_what_cannot_be_read_of_a_caller_counts_as_unsaid() -> None:
+def test_invalid_headers_of_a_caller_are_ignored() -> None:
     request = Request(
         "POST",
         "/",
@@ -293,42 +308,44 @@
 
 def test_the_store_is_read_in_pages_and_watched() -> None:
     async def test() -> None:
-        made, address = PageStore(), free_address()
-        await made.listen(address)
+        server, address = PageStore(), free_address()
+        await server.listen(address)
         for number in range(120):
-            made.put(f"servers/{number:03}", b64encode(b"x").decode())
+            server.put(f"servers/{number:03}", b64encode(b"x").decode())
         store = KvStore(HttpClient(), address)
         reading = (await store.read("servers/")).unwrap()
         assert len(reading.items) == 120
         watching = asyncio.create_task(store.watch("", reading.as_of, 2.0))
         await asyncio.sleep(0.05)
-        made.remove("servers/007")
-        seen = (await watching).unwrap()
-        assert [(one.key, one.value) for one in seen.events] == [("servers/007", None)]
-        made.drop_history()
+        server.remove("servers/007")
+        watched = (await watching).unwrap()
+        assert [(event.key, event.value) for event in watched.events] == [
+            ("servers/007", None)
+        ]
+        server.drop_history()
         gap = (await store.watch("", Revision(1), 0.1)).unwrap()
         assert not gap.complete
 
     asyncio.run(test())
 
 
-def test_a_commit_is_all_or_nothing_and_its_faults_are_told_apart() -> None:
+def test_a_commit_is_all_or_nothing_and_its_faults_are_distinguished() -> None:
     async def test() -> None:
-        made, address = PageStore(), free_address()
-        await made.listen(address)
+        server, address = PageStore(), free_address()
+        await server.listen(address)
         store = KvStore(HttpClient(), address)
         write = KeyWrite("zinnia/a", b"1")
         first = (await store.commit([("zinnia/a", Revision(0))], [write])).unwrap()
         again = await store.commit([("zinnia/a", Revision(0))], [write])
         assert again == Err(StoreFault.CONFLICT)
         assert (await store.get("zinnia/a")).unwrap().revision == first  # type: ignore[union-attr]
-        made.faults.down = "many"
+        server.faults.down = "many"
         assert await store.get("zinnia/a") == Err(StoreFault.LIMITED)
-        made.faults.down = "busy"
+        server.faults.down = "busy"
         assert await store.get("zinnia/a") == Err(StoreFault.UNAVAILABLE)
-        made.faults.down = "reset"
+        server.faults.down = "reset"
         assert await store.get("zinnia/a") == Err(StoreFault.UNKNOWN)
-        made.faults.down = ""
+        server.faults.down = ""
         lease = (await store.grant(1.0)).unwrap()
         assert await store.renew(lease) == Ok(None)
         await store.end_lease(lease)
@@ -349,7 +366,7 @@
 ) -> None:
     """Without it an entry process would follow the holder over the network.
 
-    Only the control process's own settings name its address; the seeds tell
+    Only the control process's own settings name its address; the seeds have
     the port, which is the same on all VMs.
     """
     path = tmp_path / "node.toml"
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -265,7 +265,7 @@
             for node in made.nodes:
                 answer = await made.draft(node, "small", 2, body=_REPEATED_BODY)
                 assert answer.status == 200
-                assert not made.nodes[node].gateway._fleet_view.held
+                assert not made.nodes[node].gateway._fleet_view.quarantined
 
     run(test)
 
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Who follows whom, and what that costs each VM of a fleet of any size."""
+"""Choice of the peer to follow, and its cost to each VM at any fleet size."""
 
 import asyncio
 from collections import Counter
@@ -31,9 +31,9 @@
 )
 from zinniaspool.core.messages.fleet import FleetUpdate, FleetWatch
 from zinniaspool.core.storage import StoreFault, WatchResult
-from zinniaspool.fleet import FleetBelief, FleetFollower, HolderSight, Place
+from zinniaspool.fleet import FleetFollower, FleetView, HolderHeartbeat, ProcessLocation
 from zinniaspool.fleet.mesh import pack_items
-from zinniaspool.platform.spelling import PlatformSpelling
+from zinniaspool.platform.spelling import PlatformCodec
 
 MODEL = (ServiceName("s"), ModelName("m"))
 
@@ -45,7 +45,7 @@
     }
 
 
-def find_lead(
+def find_source(
     own: NodeId, holder: NodeId, nodes: dict[NodeId, FailureDomainId]
 ) -> NodeId:
     return (choose_relays(own, holder, nodes) or [holder])[0]
@@ -53,35 +53,37 @@
 
 def test_a_small_fleet_follows_the_holder_itself() -> None:
     nodes = make_fleet(8, 3)
-    assert all(choose_relays(one, NodeId("vm-0"), nodes) == [] for one in nodes)
+    assert all(choose_relays(node, NodeId("vm-0"), nodes) == [] for node in nodes)
 
 
 @pytest.mark.parametrize("size", [30, 67, 195, 380])
-def test_nobody_tells_the_whole_fleet(size: int) -> None:
-    """One holder that told 194 VMs of each change had no time to plan."""
+def test_no_process_has_the_whole_fleet_as_followers(size: int) -> None:
+    """A holder that sent each change to 194 VMs had no time to plan."""
     nodes, holder = make_fleet(size), NodeId("vm-3")
-    followers = Counter(find_lead(one, holder, nodes) for one in nodes if one != holder)
+    followers = Counter(
+        find_source(node, holder, nodes) for node in nodes if node != holder
+    )
     assert max(followers.values()) <= 2 * FANOUT
 
 
 @given(size=st.integers(2, 250), held_by=st.integers(0, 249))
-def test_each_way_ends_at_the_holder_after_one_relay_at_most(
+def test_each_path_reaches_the_holder_through_at_most_one_relay(
     size: int, held_by: int
 ) -> None:
     nodes = make_fleet(size)
     holder = NodeId(f"vm-{held_by % size}")
-    for one in nodes:
-        if one == holder:
+    for node in nodes:
+        if node == holder:
             continue
-        lead = find_lead(one, holder, nodes)
-        assert lead == holder or find_lead(lead, holder, nodes) == holder
-        assert lead == holder or nodes[lead] == nodes[one]
+        source = find_source(node, holder, nodes)
+        assert source == holder or find_source(source, holder, nodes) == holder
+        assert source == holder or nodes[source] == nodes[node]
 
 
-def test_most_have_a_second_relay_when_the_first_is_lost() -> None:
+def test_a_process_behind_a_relay_has_a_second_one() -> None:
     nodes, holder = make_fleet(195), NodeId("vm-3")
-    for one in nodes:
-        chosen = choose_relays(one, holder, nodes)
+    for node in nodes:
+        chosen = choose_relays(node, holder, nodes)
         assert len(chosen) in (0, 2)
         assert len(set(chosen)) == len(chosen)
 
@@ -100,20 +102,22 @@
     assert sums.sum_by_model(9.0) == []
 
 
-class FakeMesh:
-    """Peers that answer or do not, by address."""
+class FakeExchange:
+    """Peers that answer, except those at the unresponsive addresses."""
 
     def __init__(self) -> None:
-        self.silent: set[Address] = set()
-        self.asked: list[Address] = []
+        self.unresponsive: set[Address] = set()
+        self.requested: list[Address] = []
         self.as_of = Revision(5)
         self.demands: list[list[ModelDemandReport]] = []
 
-    async def ask(self, address: Address, watch: FleetWatch) -> FleetUpdate | None:
-        self.asked.append(address)
+    async def request_update(
+        self, address: Address, watch: FleetWatch
+    ) -> FleetUpdate | None:
+        self.requested.append(address)
         self.demands.append(watch.demands)
         await asyncio.sleep(0.001)
-        if address in self.silent:
+        if address in self.unresponsive:
             return None
         return FleetUpdate(
             "src",
@@ -129,7 +133,7 @@
 
 
 class FakeStore:
-    """A store that only counts what it is asked."""
+    """A store without changes that counts its watches."""
 
     def __init__(self) -> None:
         self.watches = 0
@@ -143,8 +147,8 @@
         return Ok(WatchResult(events, after))
 
 
-def make_belief(size: int) -> FleetBelief:
-    belief = FleetBelief(PlatformSpelling(), reads_instances=False)
+def make_view(size: int) -> FleetView:
+    view = FleetView(PlatformCodec(), decodes_instances=False)
     items = []
     for node, domain in make_fleet(size).items():
         number = node.removeprefix("vm-")
@@ -161,72 +165,74 @@
         items.append(StoredItem(NODES_PREFIX + node, value, Revision(2)))
     holder = HolderRecord(NodeId("vm-3"), Address("10.0.0.3:82"), "start")
     items.append(StoredItem(HOLDER_KEY, msgspec.json.encode(holder), Revision(3)))
-    belief.take(belief.mirror.replace(items, Revision(4), 0.0))
-    return belief
+    view.apply_changes(view.mirror.replace(items, Revision(4), 0.0))
+    return view
 
 
 async def follow(
-    belief: FleetBelief, mesh: FakeMesh, store: FakeStore, own: NodeId
+    view: FleetView, exchange: FakeExchange, store: FakeStore, own: NodeId
 ) -> None:
     follower = FleetFollower(
         store,  # type: ignore[arg-type]
-        belief,
-        mesh,  # type: ignore[arg-type]
-        HolderSight(),
+        view,
+        exchange,  # type: ignore[arg-type]
+        HolderHeartbeat(),
         lambda: False,
         list,
         lambda: make_demand(1.0),
-        Place(own, make_fleet(195)[own]),
+        ProcessLocation(own, make_fleet(195)[own]),
     )
-    follower._read = True
+    follower._mirror_complete = True
     task = asyncio.create_task(follower.run())
     await asyncio.sleep(0.2)
     task.cancel()
 
 
-def test_a_lost_relay_is_replaced_and_the_store_asked_meanwhile() -> None:
-    """A change that comes while the relay is dead must not be missed.
+def test_an_unresponsive_relay_is_replaced_and_the_store_queried_meanwhile() -> None:
+    """A change must not be missed while the relay does not answer.
 
-    The relay gives no answer: the store is asked at once, and then the next
-    relay, so that neither the store nor the holder has the whole fleet to
-    tell for longer than one question.
+    The store is queried at once, and then the next relay, so that neither the
+    store nor the holder has to serve the whole fleet for more than one
+    request.
     """
     own = NodeId("vm-20")
     first, second = choose_relays(own, NodeId("vm-3"), make_fleet(195))
-    mesh, store = FakeMesh(), FakeStore()
+    exchange, store = FakeExchange(), FakeStore()
     address = Address(f"10.0.0.{first.removeprefix('vm-')}:82")
-    mesh.silent.add(address)
-    asyncio.run(follow(make_belief(195), mesh, store, own))
-    assert mesh.asked[0] == address
-    others = set(mesh.asked[1:])
-    assert others == {Address(f"10.0.0.{second.removeprefix('vm-')}:82")}
+    exchange.unresponsive.add(address)
+    asyncio.run(follow(make_view(195), exchange, store, own))
+    assert exchange.requested[0] == address
+    later = set(exchange.requested[1:])
+    assert later == {Address(f"10.0.0.{second.removeprefix('vm-')}:82")}
     assert store.watches == 1
 
 
-def test_demand_is_told_on_the_way_to_the_holder() -> None:
-    mesh = FakeMesh()
-    asyncio.run(follow(make_belief(195), mesh, FakeStore(), NodeId("vm-20")))
-    assert mesh.demands and all(one == make_demand(1.0) for one in mesh.demands)
+def test_demand_is_reported_on_the_way_to_the_holder() -> None:
+    exchange = FakeExchange()
+    asyncio.run(follow(make_view(195), exchange, FakeStore(), NodeId("vm-20")))
+    assert exchange.demands and all(
+        demand == make_demand(1.0) for demand in exchange.demands
+    )
 
 
-def test_a_control_process_that_starts_again_takes_its_vm_s_copy() -> None:
-    """After a loss of power of all VMs the store's link is full for seconds.
+def test_a_restarted_control_process_copies_the_mirror_of_its_vm() -> None:
+    """Otherwise the store's link is full for seconds after a power loss.
 
-    Both processes of each VM read all entries from the store at the same
+    Both processes of each VM would read all records from the store at the same
     moment. The entry process, for which callers wait, reads for both.
     """
     own, entry = NodeId("vm-20"), Address("10.0.0.20:81")
-    mesh, store = FakeMesh(), FakeStore()
-    belief = FleetBelief(PlatformSpelling(), reads_instances=False)
+    exchange, store = FakeExchange(), FakeStore()
+    view = FleetView(PlatformCodec(), decodes_instances=False)
     follower = FleetFollower(
         store,  # type: ignore[arg-type]
-        belief,
-        mesh,  # type: ignore[arg-type]
-        HolderSight(),
+        view,
+        exchange,  # type: ignore[arg-type]
+        HolderHeartbeat(),
         lambda: False,
         list,
         list,
-        Place(own, FailureDomainId("d0"), own_entry=entry),
+        ProcessLocation(own, FailureDomainId("d0"), local_entry=entry),
     )
 
     async def test() -> None:
@@ -235,43 +241,46 @@
         task.cancel()
 
     asyncio.run(test())
-    assert mesh.asked[0] == entry
-    assert belief.mirror.as_of == mesh.as_of
+    assert exchange.requested[0] == entry
+    assert view.mirror.as_of == exchange.as_of
 
 
-def test_those_behind_a_relay_wait_longer_than_it_before_they_ask_the_store() -> None:
-    """After a second without the store the whole fleet would ask it at once.
+def test_followers_of_a_relay_wait_longer_than_it_before_they_query_the_store() -> None:
+    """Otherwise the whole fleet queries the store after a second without it.
 
-    The holder's copy ages, and with it all others. Who follows the holder asks
-    the store first, and the others have fresh news before it is their turn,
-    all well within the time in which a change must be known.
+    The holder's mirror ages, and all others with it. The processes that follow
+    the holder query the store first, and the others get a fresh update before
+    they reach their own limit, all well within the time in which a change must
+    be known.
     """
     holder, nodes = NodeId("vm-3"), make_fleet(195)
     relay = next(
-        one for one in nodes if one != holder and not choose_relays(one, holder, nodes)
+        node
+        for node in nodes
+        if node != holder and not choose_relays(node, holder, nodes)
     )
     follower = NodeId("vm-20")
     assert choose_relays(follower, holder, nodes)
 
-    def find_fresh_s(own: NodeId, own_control: Address | None = None) -> float:
+    def find_max_age_s(own: NodeId, local_control: Address | None = None) -> float:
         return FleetFollower(
             FakeStore(),  # type: ignore[arg-type]
-            make_belief(195),
-            FakeMesh(),  # type: ignore[arg-type]
-            HolderSight(),
+            make_view(195),
+            FakeExchange(),  # type: ignore[arg-type]
+            HolderHeartbeat(),
             lambda: False,
             list,
             list,
-            Place(own, nodes[own]),
-            own_control,
-        )._fresh_s
+            ProcessLocation(own, nodes[own]),
+            local_control,
+        )._max_age_s
 
-    entry_s = find_fresh_s(follower, Address("10.0.0.20:82"))
-    assert find_fresh_s(relay) + 0.6 < find_fresh_s(follower) < entry_s < 2.5
+    entry_s = find_max_age_s(follower, Address("10.0.0.20:82"))
+    assert find_max_age_s(relay) + 0.6 < find_max_age_s(follower) < entry_s < 2.5
 
 
-class SilentOnceStore(FakeStore):
-    """A store whose first connection gives no answer."""
+class UnresponsiveOnceStore(FakeStore):
+    """A store whose first watch gets no answer."""
 
     async def watch(
         self, prefix: str, after: Revision, wait_s: float, overdue_s: float
@@ -280,29 +289,29 @@
         await asyncio.sleep(0.001)
         if self.watches == 1:
             return Err(StoreFault.UNKNOWN)
-        gone = MirrorEvent(NODES_PREFIX + "vm-7", None, Revision(6))
-        return Ok(WatchResult([gone], Revision(6)))
+        removal = MirrorEvent(NODES_PREFIX + "vm-7", None, Revision(6))
+        return Ok(WatchResult([removal], Revision(6)))
 
 
-def test_one_connection_that_goes_silent_is_no_outage_of_the_store() -> None:
-    """The whole fleet would ask the store, and losses be believed late.
+def test_one_unresponsive_connection_is_no_outage_of_the_store() -> None:
+    """Otherwise the whole fleet turns to the store and defers removals.
 
-    The holder's watch gets no answer, since its connection has gone silent.
-    It asks again on another one at once: its copy stays fresh for those who
-    follow it, and a removal is believed as at any time.
+    The holder's watch gets no answer, since its connection stopped responding.
+    The holder repeats it on another connection at once, so that its mirror
+    stays fresh for its followers and a removal is applied as at any time.
     """
-    belief, store = make_belief(8), SilentOnceStore()
+    view, store = make_view(8), UnresponsiveOnceStore()
     follower = FleetFollower(
         store,  # type: ignore[arg-type]
-        belief,
-        FakeMesh(),  # type: ignore[arg-type]
-        HolderSight(),
+        view,
+        FakeExchange(),  # type: ignore[arg-type]
+        HolderHeartbeat(),
         lambda: True,
         list,
         list,
-        Place(NodeId("vm-3"), FailureDomainId("d3")),
+        ProcessLocation(NodeId("vm-3"), FailureDomainId("d3")),
     )
-    follower._read = True
+    follower._mirror_complete = True
 
     async def test() -> None:
         task = asyncio.create_task(follower.run())
@@ -311,16 +320,16 @@
 
     asyncio.run(test())
     assert follower.reachable
-    assert NodeId("vm-7") not in belief.nodes
+    assert NodeId("vm-7") not in view.nodes
 
 
-def test_a_holder_is_doubted_by_who_got_no_answer_from_it() -> None:
-    """Otherwise every VM would try the holder's address between two words."""
-    sight = HolderSight()
+def test_a_holder_without_an_answer_is_unresponsive_until_its_next_heartbeat() -> None:
+    """Otherwise every VM tries the holder's address between two heartbeats."""
+    heartbeat = HolderHeartbeat()
     holder = HolderRecord(NodeId("vm-3"), Address("10.0.0.3:82"), "start")
-    sight.hear(holder, 0.0, provisional=False)
-    assert not sight.is_unanswered(holder)
-    sight.note_unanswered(holder)
-    assert sight.is_unanswered(holder)
-    sight.hear(holder, 0.0, provisional=False)
-    assert not sight.is_unanswered(holder)
+    heartbeat.record(holder, 0.0, provisional=False)
+    assert not heartbeat.is_unresponsive(holder)
+    heartbeat.mark_unresponsive(holder)
+    assert heartbeat.is_unresponsive(holder)
+    heartbeat.record(holder, 0.0, provisional=False)
+    assert not heartbeat.is_unresponsive(holder)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -19,7 +19,7 @@
     suspect,
 )
 from zinniaspool.core.ids import FailureDomainId, NodeId, ServiceName
-from zinniaspool.fleet import FleetBelief
+from zinniaspool.fleet import FleetView
 from zinniaspool.gateway.moves import Rerouter
 from zinniaspool.gateway.silence import (
     MAX_CHECK_INTERVAL_S,
@@ -27,7 +27,7 @@
     StallDetector,
 )
 from zinniaspool.gateway.targets import TargetIndex
-from zinniaspool.platform.spelling import PlatformSpelling
+from zinniaspool.platform.spelling import PlatformCodec
 
 LIMITS = StallLimits(streaming_s=10.0)
 """Limits that are longer than the learned timeouts."""
@@ -215,7 +215,7 @@
             return super().reroute_overdue(now)
 
     async def test() -> None:
-        index = TargetIndex(FleetBelief(PlatformSpelling()), FailureDomainId("z"))
+        index = TargetIndex(FleetView(PlatformCodec()), FailureDomainId("z"))
         detector = StallDetector(
             NodeId("n"), index, CountedMoves(index), lambda _: None, lambda _: None
         )
@@ -234,7 +234,7 @@
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        index = TargetIndex(FleetBelief(PlatformSpelling()), FailureDomainId("z"))
+        index = TargetIndex(FleetView(PlatformCodec()), FailureDomainId("z"))
         pool = index.find_pool(ServiceName("s"), None)
         pool.update([make_target("x")], 0.0)
         state = find(pool, "x")
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -41,19 +41,19 @@
 from zinniaspool.core.messages.fleet import FleetUpdate, FleetWatch
 from zinniaspool.core.storage import StoreFault, WatchResult
 from zinniaspool.fleet import (
-    FleetBelief,
     FleetFollower,
-    FleetMesh,
-    HolderSight,
-    Place,
+    FleetView,
+    HolderHeartbeat,
+    PeerExchange,
+    ProcessLocation,
 )
-from zinniaspool.fleet.mesh import ANSWER_S, Lead
+from zinniaspool.fleet.mesh import ANSWER_TIMEOUT_S, HolderTerm
 from zinniaspool.gateway.targets import TargetIndex
 from zinniaspool.http import TransportFailure
 from zinniaspool.keeper.holder import GroupHolder
-from zinniaspool.platform.entries import read_entry
+from zinniaspool.platform.entries import decode_instance
 from zinniaspool.platform.rules import RULES_KEY
-from zinniaspool.platform.spelling import PlatformSpelling
+from zinniaspool.platform.spelling import PlatformCodec
 from zinniaspool_standins.installation import make_rules
 
 SERVICE, MODEL, SIZE = ServiceName("drafting"), ModelName("large"), 3
@@ -159,7 +159,7 @@
             return Err(TransportFailure.TIMED_OUT)
         await asyncio.sleep(LINK_S)
         value = msgspec.json.encode(ENTRIES[name])
-        known = read_entry(f"servers/{name}", value).unwrap()
+        known = decode_instance(f"servers/{name}", value).unwrap()
         return Ok(
             EngineStatus(
                 known.membership,
@@ -209,13 +209,13 @@
     def __init__(self, fleet: "Fleet", number: int, *, entry: bool) -> None:
         self.node = NodeId(f"vm-{number}")
         self.domain = FailureDomainId(f"hall-{number % 3}")
-        self.belief = FleetBelief(PlatformSpelling(), reads_instances=entry)
+        self.belief = FleetView(PlatformCodec(), decodes_instances=entry)
         self.election = Election()
         self.index = TargetIndex(self.belief, self.domain)
         if entry:
             self.belief.on_instances.append(self._refresh)
-        sight = HolderSight()
-        self.mesh = FleetMesh(
+        sight = HolderHeartbeat()
+        self.mesh = PeerExchange(
             self.node,
             self.domain,
             self.belief,
@@ -223,7 +223,9 @@
             sight,
             fleet.store.probe,
             lambda: (
-                Lead(f"start-{number}", 0.0, False) if self.election.holds else None
+                HolderTerm(f"start-{number}", 0.0, False)
+                if self.election.holds
+                else None
             ),
         )
         self.follower = FleetFollower(
@@ -234,7 +236,7 @@
             lambda: self.election.claims,
             list,
             list,
-            Place(self.node, self.domain),
+            ProcessLocation(self.node, self.domain),
             make_control_address(number) if entry else None,
         )
         self.holder = GroupHolder(
@@ -257,7 +259,7 @@
         return {state.target.instance for state in pool}
 
     async def run(self) -> None:
-        self.follower._read = True
+        self.follower._mirror_complete = True
         await asyncio.gather(self.follower.run(), self.holder.run())
 
 
@@ -284,7 +286,7 @@
                 if event.value is not None
             ]
             as_of = Revision(len(self.store.events))
-            one.belief.take(one.belief.mirror.replace(items, as_of, 0.0))
+            one.belief.apply_changes(one.belief.mirror.replace(items, as_of, 0.0))
             self._tasks[one] = asyncio.create_task(one.run())
 
     def _fill_store(self) -> None:
@@ -331,14 +333,16 @@
             address: one for address, one in self._by_address.items() if one != control
         }
 
-    async def ask(self, address: Address, watch: FleetWatch) -> FleetUpdate | None:
+    async def request_update(
+        self, address: Address, watch: FleetWatch
+    ) -> FleetUpdate | None:
         """Carry a question between two processes."""
         await asyncio.sleep(LINK_S)
         asked = self._by_address.get(address)
         if asked is None:
-            await asyncio.sleep(ANSWER_S - LINK_S)
+            await asyncio.sleep(ANSWER_TIMEOUT_S - LINK_S)
             return None
-        news = await asked.mesh._answer(watch)
+        news = await asked.mesh._create_update(watch)
         await asyncio.sleep(LINK_S)
         return news
 
