--- a/src/zinniaspool/control/__init__.py
+++ b/src/zinniaspool/control/__init__.py
@@ -1,1 +1,1 @@
-"""``zinniaspool-control``: forms and repairs replica groups."""
+"""Program ``zinniaspool-control``, which forms and repairs replica groups."""
--- a/src/zinniaspool/control/engines.py
+++ b/src/zinniaspool/control/engines.py
@@ -1,4 +1,7 @@
-"""Calls to one domain's engines: reports and orders, one of each at a time."""
+"""Calls to the engines of one fabric domain.
+
+Each engine has at most one poll of its report and one order in progress.
+"""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Mapping
@@ -14,73 +17,75 @@
 
 _log = structlog.get_logger(__name__)
 _OK = 200
-"""HTTP status."""
+"""HTTP status of a successful call."""
 _JSON = Headers.of(content_type="application/json")
 
 
 class EngineCalls:
-    """Asks engines for reports and sends them orders, without waiting.
+    """Polls engines for reports and sends them orders, in the background.
 
-    A VM that does not answer delays no other VM's report: each call runs on
-    its own, and a VM has at most one of each kind under way.
+    Each call runs in its own task, so that a VM that does not answer does not
+    delay the reports of other VMs. A VM has at most one call of each kind in
+    progress.
 
     Args:
         http: Connections to engines.
-        call_s: Longest time that a call may take; an order that has not
-            left by then is never sent.
+        call_timeout_s: Longest time that a call may take, in seconds. An order
+            that has not left by then is never sent.
     """
 
-    def __init__(self, http: HttpClient, call_s: float) -> None:
+    def __init__(self, http: HttpClient, call_timeout_s: float) -> None:
         self._http = http
-        self._call_s = call_s
-        self._asking: set[VmId] = set()
+        self._call_timeout_s = call_timeout_s
+        self._polling: set[VmId] = set()
         self._ordering: set[VmId] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def ask(
+    def poll_reports(
         self,
         addresses: Mapping[VmId, Address],
-        take: Callable[[EngineReport, float], None],
-        miss: Callable[[VmId], None],
+        on_report: Callable[[EngineReport, float], None],
+        on_no_report: Callable[[VmId], None],
     ) -> None:
-        """Ask each engine that is not being asked for its report.
+        """Request a report from each engine without a poll in progress.
 
         Args:
-            addresses: Where the engines listen.
-            take: Gets a report and when it was asked for.
-            miss: Gets a VM that did not answer.
+            addresses: Addresses of the engines by VM.
+            on_report: Called with a report and the time of its request.
+            on_no_report: Called with a VM that did not answer.
         """
         for vm, address in addresses.items():
-            if vm not in self._asking:
-                self._asking.add(vm)
-                self._start(self._ask(vm, address, take, miss))
+            if vm not in self._polling:
+                self._polling.add(vm)
+                self._start(self._poll_report(vm, address, on_report, on_no_report))
 
-    def order(
+    def send_order(
         self,
         order: Order,
         address: Address,
         may_send: Callable[[], bool],
-        sent: Callable[[Order, int], None],
+        on_answer: Callable[[Order, int], None],
     ) -> None:
-        """Send an order unless one is under way to the same VM.
+        """Send an order unless one to the same VM is in progress.
 
         Args:
-            order: What.
-            address: Where the engine listens.
-            may_send: Asked right before the order leaves.
-            sent: Gets the answer's status.
+            order: The order.
+            address: Address of the engine.
+            may_send: Checked right before the order leaves; the order is not
+                sent if it returns False.
+            on_answer: Called with the order and the status of its answer.
         """
         if order.vm not in self._ordering:
             self._ordering.add(order.vm)
-            self._start(self._order(order, address, may_send, sent))
+            self._start(self._send_order(order, address, may_send, on_answer))
 
-    async def settle(self) -> None:
-        """Wait until the orders under way have ended."""
+    async def wait_for_orders(self) -> None:
+        """Wait until no order is in progress."""
         while self._ordering:
             await asyncio.wait(set(self._tasks))
 
     def close(self) -> None:
-        """Give up what is under way."""
+        """Cancel all calls in progress."""
         for task in self._tasks:
             task.cancel()
 
@@ -89,27 +94,27 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _ask(
+    async def _poll_report(
         self,
         vm: VmId,
         address: Address,
-        take: Callable[[EngineReport, float], None],
-        miss: Callable[[VmId], None],
+        on_report: Callable[[EngineReport, float], None],
+        on_no_report: Callable[[VmId], None],
     ) -> None:
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         try:
             report = await self._fetch_report(address)
         finally:
-            self._asking.discard(vm)
+            self._polling.discard(vm)
         if report is None or report.vm != vm:
-            miss(vm)
+            on_no_report(vm)
             return
-        take(report, asked_at)
+        on_report(report, requested_at)
 
     async def _fetch_report(self, address: Address) -> EngineReport | None:
         try:
             status, body = await self._http.fetch(
-                address, Request("GET", "/report"), self._call_s
+                address, Request("GET", "/report"), self._call_timeout_s
             )
             if status != _OK:
                 return None
@@ -117,21 +122,21 @@
         except (TransportError, msgspec.MsgspecError):
             return None
 
-    async def _order(
+    async def _send_order(
         self,
         order: Order,
         address: Address,
         may_send: Callable[[], bool],
-        sent: Callable[[Order, int], None],
+        on_answer: Callable[[Order, int], None],
     ) -> None:
         request = Request("POST", "/orders", _JSON, msgspec.json.encode(order))
         try:
             if not may_send():
                 return
-            status, _ = await self._http.fetch(address, request, self._call_s)
+            status, _ = await self._http.fetch(address, request, self._call_timeout_s)
         except TransportError as error:
             _log.warning("order-unanswered", vm=order.vm, error=str(error))
             return
         finally:
             self._ordering.discard(order.vm)
-        sent(order, status)
+        on_answer(order, status)
--- a/src/zinniaspool/control/fleet.py
+++ b/src/zinniaspool/control/fleet.py
@@ -1,4 +1,4 @@
-"""What a control process knows of all domains."""
+"""What a control process knows of all fabric domains."""
 
 import asyncio
 import time
@@ -18,17 +18,18 @@
 from zinniaspool.core.membership import Notice
 from zinniaspool.core.plans import DomainPlan
 
-__all__ = ["FleetBook"]
+__all__ = ["FleetTable"]
 
 _PEAK_LEAD_S = 1800.0
-"""How long before an announced peak nothing is moved for convenience."""
+"""How long before an announced peak no VM is reassigned for convenience, in
+seconds."""
 
 
-class FleetBook:
-    """Plans and evidence of all domains, and the announced peaks.
+class FleetTable:
+    """Plans and evidence of all domains, and the announced peaks of demand.
 
     Args:
-        stale_after_s: Age from which a report counts as absent.
+        stale_after_s: Age from which a report counts as absent, in seconds.
     """
 
     def __init__(self, stale_after_s: float) -> None:
@@ -37,33 +38,36 @@
 
     @property
     def plans(self) -> dict[FabricDomainId, DomainPlan]:
-        """The newest plan known of each domain."""
+        """The newest known plan of each domain."""
         return self._evidence.plans
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a newer configuration."""
+        """Apply a newer configuration."""
         self._configuration = configuration
 
-    def take_plan(self, plan: DomainPlan) -> None:
-        """Take a plan, unless a newer one is known."""
+    def update_plan(self, plan: DomainPlan) -> None:
+        """Store a plan unless a newer plan of its domain is known."""
         self._evidence.apply_plan(plan)
 
-    def take_notice(self, notice: Notice) -> DomainHeartbeat | None:
-        """Take a plan or a beat, and return the beat."""
+    def on_notice(self, notice: Notice) -> DomainHeartbeat | None:
+        """Apply a notice with a plan or a heartbeat; return the heartbeat.
+
+        A notice that cannot be decoded is ignored.
+        """
         try:
             if notice.key.startswith(PLAN_PREFIX):
-                self.take_plan(decode_plan(notice.payload))
+                self.update_plan(decode_plan(notice.payload))
             if not notice.key.startswith(BEAT_PREFIX):
                 return None
-            beat = decode_heartbeat(notice.payload)
+            heartbeat = decode_heartbeat(notice.payload)
         except (msgspec.MsgspecError, UnicodeDecodeError):
             return None
         now = asyncio.get_running_loop().time()
-        self._evidence.apply_heartbeat(beat, notice.age_s, now)
-        return beat
+        self._evidence.apply_heartbeat(heartbeat, notice.age_s, now)
+        return heartbeat
 
-    def knowledge(self, domain: FabricDomainId) -> OtherDomainsView:
-        """Return what the holder of a domain has to know of the others."""
+    def make_knowledge(self, domain: FabricDomainId) -> OtherDomainsView:
+        """Return what the holder of a domain needs to know of the others."""
         now = asyncio.get_running_loop().time()
         plans = {name: plan for name, plan in self.plans.items() if name != domain}
         ready = frozenset(
--- a/src/zinniaspool/control/leases.py
+++ b/src/zinniaspool/control/leases.py
@@ -1,4 +1,4 @@
-"""A fabric domain's lease and plan in the store."""
+"""Lease and plan of a fabric domain in the store."""
 
 import secrets
 
@@ -13,14 +13,15 @@
 __all__ = ["DomainStore", "StoredPlan"]
 
 _log = structlog.get_logger(__name__)
-_PLANS = "plans/"
+_PLANS_PREFIX = "plans/"
 
 
 class StoredPlan(msgspec.Struct, frozen=True):
-    """A plan as it stands in the store.
+    """A plan as it is encoded in the store.
 
     Attributes:
-        tag: Unique to the write, so that a lost answer can be settled.
+        tag: Unique to the write. It shows whether a write whose answer was
+            lost has been applied.
         plan: The plan.
     """
 
@@ -34,13 +35,13 @@
 
 
 class DomainStore:
-    """The store's calls for one domain.
+    """Reads and writes the lease and the plan of one domain.
 
     Args:
         store: The platform's store.
         domain: The fabric domain.
-        node: This process.
-        lease_s: Length of the lease.
+        node: This process's node name.
+        lease_s: Length of the lease, in seconds.
     """
 
     def __init__(
@@ -54,14 +55,18 @@
 
     @property
     def has_lease(self) -> bool:
-        """Whether a lease was taken and is not known to be lost."""
+        """Whether the lease was acquired and is not known to be lost."""
         return self._lease is not None
 
-    async def take(self) -> bool:
-        """Take the domain's lease if nobody holds it."""
+    async def acquire_lease(self) -> bool:
+        """Acquire the domain's lease if no process holds it.
+
+        Returns:
+            Whether this process holds the lease now.
+        """
         key = f"holders/{self._domain}"
-        found = await self._store.get(key)
-        if isinstance(found, Err) or found.ok_value is not None:
+        read = await self._store.get(key)
+        if isinstance(read, Err) or read.ok_value is not None:
             return False
         granted = await self._store.grant(self._lease_s)
         if isinstance(granted, Err):
@@ -77,8 +82,8 @@
         self._lease = lease
         return True
 
-    async def renew(self) -> Result[None, StoreFault]:
-        """Start the lease's time anew."""
+    async def renew_lease(self) -> Result[None, StoreFault]:
+        """Renew the lease for its full length."""
         if self._lease is None:
             return Err(StoreFault.NO_LEASE)
         lease = self._lease
@@ -87,18 +92,21 @@
             self._lease = None
         return renewed
 
-    async def release(self) -> None:
-        """Give the lease up, so that another process need not wait."""
+    async def release_lease(self) -> None:
+        """Revoke the lease, so that another process can acquire it at once."""
         lease, self._lease = self._lease, None
         if lease is not None:
             await self._store.revoke(lease)
 
     async def read_plan(self) -> Result[tuple[DomainPlan, Revision], StoreFault]:
-        """Return the plan, an empty one at first, and its revision."""
-        found = await self._store.get(_PLANS + self._domain)
-        if isinstance(found, Err):
-            return found
-        value = found.ok_value
+        """Return the domain's plan and its revision.
+
+        The plan is empty and its revision 0 if none has been written yet.
+        """
+        read = await self._store.get(_PLANS_PREFIX + self._domain)
+        if isinstance(read, Err):
+            return read
+        value = read.ok_value
         if value is None:
             return Ok((DomainPlan(self._domain), Revision(0)))
         try:
@@ -109,12 +117,12 @@
         return Ok((stored.plan, value.revision))
 
     async def list_plans(self) -> Result[list[DomainPlan], StoreFault]:
-        """Return the plans of all domains."""
-        found = await self._store.list(_PLANS)
-        if isinstance(found, Err):
-            return found
+        """Return the plans of all domains, except unreadable ones."""
+        read = await self._store.list(_PLANS_PREFIX)
+        if isinstance(read, Err):
+            return read
         plans = []
-        for value in found.ok_value.values:
+        for value in read.ok_value.values:
             try:
                 plans.append(msgspec.json.decode(value.value, type=StoredPlan).plan)
             except msgspec.MsgspecError as error:
@@ -124,7 +132,9 @@
     async def swap_plan(
         self, plan: DomainPlan, expected: Revision
     ) -> Result[Revision, StoreFault]:
-        """Replace the plan if it is at a revision."""
+        """Replace the plan if its revision is the expected one."""
         stored = StoredPlan(secrets.token_hex(8), plan)
         value = msgspec.json.encode(stored).decode()
-        return await settle_swap(self._store, _PLANS + self._domain, value, expected)
+        return await settle_swap(
+            self._store, _PLANS_PREFIX + self._domain, value, expected
+        )
--- a/src/zinniaspool/control/notes.py
+++ b/src/zinniaspool/control/notes.py
@@ -1,4 +1,4 @@
-"""What a domain's keeper tells operators of its decisions."""
+"""Records the decisions about one fabric domain for operators."""
 
 from collections.abc import Iterable
 
@@ -14,9 +14,9 @@
 from zinniaspool.core.plans import DomainPlan, GroupPlan, Order
 from zinniaspool.node import NodeFrame
 
-__all__ = ["DomainNotes"]
+__all__ = ["DecisionRecorder"]
 
-_KINDS = {
+_DECISION_KINDS = {
     ChangeKind.FORMED: DecisionKind.GROUP_FORMED,
     ChangeKind.REPAIRED: DecisionKind.GROUP_REPAIRED,
     ChangeKind.DRAINING: DecisionKind.GROUP_DRAINING,
@@ -28,11 +28,11 @@
 }
 
 
-class DomainNotes:
-    """Records one domain's decisions, each once.
+class DecisionRecorder:
+    """Records the decisions about one domain, each of them once.
 
     Args:
-        frame: Where decisions are recorded.
+        frame: Writes decisions to the journal and the log.
         domain: The fabric domain.
     """
 
@@ -45,91 +45,94 @@
         self._shortfalls: frozenset[tuple[str, str]] = frozenset()
 
     def configure(self, index: FleetIndex) -> None:
-        """Take a newer configuration."""
+        """Apply a newer configuration."""
         self._index = index
 
-    def note_held(self) -> None:
-        """Record that this process took the lease."""
-        self._decide(DecisionKind.DOMAIN_HELD, (), "took the lease")
+    def record_lease_acquired(self) -> None:
+        """Record that this process has acquired the domain's lease."""
+        self._record(DecisionKind.DOMAIN_HELD, (), "took the lease")
 
-    def note_released(self, reason: str) -> None:
+    def record_domain_released(self, reason: str) -> None:
         """Record that this process no longer holds the domain."""
-        self._decide(DecisionKind.DOMAIN_RELEASED, (), reason)
+        self._record(DecisionKind.DOMAIN_RELEASED, (), reason)
 
-    def note_changes(self, plan: DomainPlan, changes: Iterable[PlanChange]) -> None:
-        """Record the changes of a plan that now stands in the store."""
+    def record_changes(self, plan: DomainPlan, changes: Iterable[PlanChange]) -> None:
+        """Record the changes of a plan that is in the store now."""
         groups = {f"group:{group.id}": group for group in plan.groups}
         for change in changes:
             if change.kind is not ChangeKind.KEPT_WAITING:
-                self._note_change(change, groups)
+                self._record_change(change, groups)
 
-    def note_step(self, holder: Holder) -> None:
-        """Record new waits, idle VMs and shortfalls of the last step."""
+    def record_step(self, holder: Holder) -> None:
+        """Record what is new in the holder's last planning step.
+
+        These are groups that wait, idle VMs and shortfalls of models.
+        """
         groups = {f"group:{group.id}": group for group in holder.plan.groups}
         for change in holder.pop_new_waits():
-            self._note_change(change, groups)
-        idle = {found.vm: found.reason for found in holder.idle_vms}
+            self._record_change(change, groups)
+        idle = {idle_vm.vm: idle_vm.reason for idle_vm in holder.idle_vms}
         for vm, reason in idle.items():
             if self._idle.get(vm) is not reason:
-                owner = self._owner(vm)
+                owner = self._find_owner(vm)
                 subjects = (f"vm:{vm}",)
-                self._decide(DecisionKind.VM_IDLE, subjects, reason.value, owner)
+                self._record(DecisionKind.VM_IDLE, subjects, reason.value, owner)
         self._idle = idle
         if holder.last_result is None:
             return
-        found = holder.last_result.shortfalls
-        shortfalls = frozenset((f"model:{s.model}", s.reason) for s in found)
+        current = holder.last_result.shortfalls
+        shortfalls = frozenset((f"model:{s.model}", s.reason) for s in current)
         for subject, reason_text in sorted(shortfalls - self._shortfalls):
             customers = self._customers_of_model(subject.removeprefix("model:"))
-            self._decide(DecisionKind.SHORTFALL, (subject,), reason_text, customers)
+            self._record(DecisionKind.SHORTFALL, (subject,), reason_text, customers)
         self._shortfalls = shortfalls
 
-    def note_ready(self, plan: DomainPlan, ready: frozenset[GroupId]) -> None:
-        """Record the groups that began or ceased to serve."""
-        now = {group.id: group for group in plan.groups if group.id in ready}
-        for group in now.values():
+    def record_ready(self, plan: DomainPlan, ready: frozenset[GroupId]) -> None:
+        """Record the groups that have begun or ceased to serve."""
+        serving = {group.id: group for group in plan.groups if group.id in ready}
+        for group in serving.values():
             if group.id not in self._ready:
-                self._note_group(
+                self._record_group(
                     DecisionKind.GROUP_SERVES, group, "every VM reports it ready"
                 )
         for group in self._ready.values():
-            if group.id not in now:
-                self._note_group(
+            if group.id not in serving:
+                self._record_group(
                     DecisionKind.GROUP_STOPPED, group, "a VM no longer reports it ready"
                 )
-        self._ready = now
+        self._ready = serving
 
-    def note_order(self, order: Order, status: int) -> None:
-        """Record an order that an engine answered."""
+    def record_order(self, order: Order, status: int) -> None:
+        """Record an order that an engine has answered."""
         subjects: tuple[str, ...] = (f"vm:{order.vm}",)
         if order.group is not None:
             subjects = (f"group:{order.group}", *subjects)
-        self._decide(
+        self._record(
             DecisionKind.ORDER_SENT,
             subjects,
             order.kind.value,
-            self._owner(order.vm),
+            self._find_owner(order.vm),
             status=str(status),
             epoch=str(order.epoch),
         )
 
-    def _note_change(self, change: PlanChange, groups: dict[str, GroupPlan]) -> None:
+    def _record_change(self, change: PlanChange, groups: dict[str, GroupPlan]) -> None:
         customers = ""
         for subject in change.subjects:
             if subject in groups:
                 customers = ",".join(groups[subject].customers)
             elif subject.startswith("vm:") and not customers:
-                customers = self._owner(VmId(subject.removeprefix("vm:")))
+                customers = self._find_owner(VmId(subject.removeprefix("vm:")))
         fields = {"rejected": change.rejected} if change.rejected else {}
-        kind = _KINDS[change.kind]
-        self._decide(kind, change.subjects, change.reason, customers, **fields)
+        kind = _DECISION_KINDS[change.kind]
+        self._record(kind, change.subjects, change.reason, customers, **fields)
 
-    def _note_group(self, kind: DecisionKind, group: GroupPlan, reason: str) -> None:
-        self._decide(kind, (f"group:{group.id}",), reason, ",".join(group.customers))
+    def _record_group(self, kind: DecisionKind, group: GroupPlan, reason: str) -> None:
+        self._record(kind, (f"group:{group.id}",), reason, ",".join(group.customers))
 
-    def _owner(self, vm: VmId) -> str:
-        found = self._index.vms.get(vm) if self._index else None
-        return found.owner if found else ""
+    def _find_owner(self, vm: VmId) -> str:
+        found_vm = self._index.vms.get(vm) if self._index else None
+        return found_vm.owner if found_vm else ""
 
     def _customers_of_model(self, name: str) -> str:
         if self._index is None:
@@ -141,7 +144,7 @@
             for customer in self._index.get_customers(model)
         )
 
-    def _decide(
+    def _record(
         self,
         kind: DecisionKind,
         subjects: tuple[str, ...],
--- a/src/zinniaspool/control/ranks.py
+++ b/src/zinniaspool/control/ranks.py
@@ -1,4 +1,4 @@
-"""The order of control processes for each domain, worked out seldom."""
+"""Cached ranks of the control processes for each fabric domain."""
 
 import asyncio
 
@@ -10,40 +10,41 @@
 __all__ = ["ControlRanks"]
 
 _REFRESH_S = 1.0
-"""Seconds between rankings of the control processes; chosen."""
+"""Seconds between two checks whether the set of control processes has
+changed."""
 
 
 class ControlRanks:
-    """Ranks the control processes known for each domain.
+    """Ranks the known control processes for each domain.
 
-    With hundreds of processes a rank costs as many hashes, and every domain
-    asks for it several times a second; so they are kept until other
-    processes are known.
+    With hundreds of processes a rank costs as many hashes, and each domain
+    needs it several times a second. So ranks are cached until the set of known
+    processes changes.
 
     Args:
-        frame: Knows the processes.
+        frame: Lists the known processes.
     """
 
     def __init__(self, frame: NodeFrame) -> None:
         self._frame = frame
         self._nodes: frozenset[NodeId] = frozenset()
         self._ranks: dict[tuple[NodeId, FabricDomainId], int] = {}
-        self._looked_at = float("-inf")
+        self._refreshed_at = float("-inf")
 
     def rank(self, node: NodeId, domain: FabricDomainId) -> int:
-        """Return a process's place in a domain's order, from 0."""
+        """Return the rank of a process in a domain's order, from 0."""
         self._refresh()
         key = node, domain
-        found = self._ranks.get(key)
-        if found is None:
-            found = self._ranks[key] = rank_process(node, self._nodes, domain)
-        return found
+        rank = self._ranks.get(key)
+        if rank is None:
+            rank = self._ranks[key] = rank_process(node, self._nodes, domain)
+        return rank
 
     def _refresh(self) -> None:
         now = asyncio.get_running_loop().time()
-        if now < self._looked_at + _REFRESH_S:
+        if now < self._refreshed_at + _REFRESH_S:
             return
-        self._looked_at = now
+        self._refreshed_at = now
         nodes = frozenset(
             member.node
             for member in self._frame.members()
--- a/src/zinniaspool/keeper/__init__.py
+++ b/src/zinniaspool/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""The control program on the users' platform: forms and repairs groups."""
+"""Control process on the users' platform: forms and repairs groups."""
--- a/src/zinniaspool/keeper/election.py
+++ b/src/zinniaspool/keeper/election.py
@@ -1,11 +1,13 @@
-"""Who plans groups: the process that last wrote the holder's key.
-
-The key has no lease. Whoever finds that the holder plans no more replaces it
-by a compare-and-swap, and plans are written only while the key stands as their
-holder wrote it. So nobody can take over while the store is down for all, and
-losses are still repaired then: a holder that no longer hears from the store
-goes on as long as every other VM says that it hears nothing either. If one of
-them reaches the store, another process may have taken over, and it stops.
+"""Election of the holder, the control process that plans replica groups.
+
+The holder is the process that last wrote the holder's key in the store. The
+key has no lease. A process that finds that the holder no longer plans replaces
+the key by a compare-and-swap, and a plan is written only while the key is as
+the plan's holder wrote it. So no process can take over while the store is down
+for all. Groups are still repaired during such an outage: a holder that no
+longer reaches the store goes on as long as every other VM reports that it
+doesn't reach the store either. If one of them does, another process may have
+taken over, and the holder stops planning.
 """
 
 import asyncio
@@ -28,241 +30,260 @@
 )
 from zinniaspool.fleet.mesh import HolderTerm, is_connection_refused
 
-__all__ = ["HolderElection", "find_delay_s"]
+__all__ = ["HolderElection", "compute_candidacy_delay_s"]
 
 _log = structlog.get_logger(__name__)
 
-TRUST_S = 1.1
-"""For how long after the store last answered a holder plans on, in seconds:
-somewhat over what passes between two answers. The others wait for longer
-than this before one of them takes over."""
+STORE_TRUST_S = 1.1
+"""How long a holder goes on planning after the store last answered it, in
+seconds. It is slightly longer than the time between two answers. Other
+processes wait longer than this before one of them takes over."""
 
-WORD_S = 0.9
-"""For how long the others' word that the store is down for them too counts,
-in seconds."""
+PEER_REPORTS_VALID_S = 0.9
+"""How long the peers' reports that they don't reach the store either are
+valid, in seconds."""
 
-CHECK_S = 0.1
-"""Pause between looks, in seconds."""
+CHECK_PAUSE_S = 0.1
+"""Pause between two checks, in seconds."""
 
-UNHEARD_S = 1.0
-"""For how long a holder must have been unheard of, by anybody, before another
-takes over, in seconds: some three questions to it, so that one that is busy
-with many is not taken for gone."""
+HOLDER_TIMEOUT_S = 1.0
+"""How long no process may have received a message from the holder before
+another process takes over, in seconds. It covers about three queries to the
+holder, so that a holder that is busy with many peers doesn't count as
+unreachable."""
 
-ENDED_S = 0.15
-"""The same where its VM refuses connections: its process has ended."""
+ENDED_HOLDER_TIMEOUT_S = 0.15
+"""The same if the holder's VM refuses connections, in seconds: the holder's
+process has ended then."""
 
-MOST_ASKED = 8
-"""How many others are asked whether they hear the holder: enough that a few
-that are cut off themselves do not decide."""
+MAX_PEERS_QUERIED = 8
+"""How many peers are asked when they last received a message from the holder,
+and how many are asked first whether they reach the store. There are enough of
+them that a few peers that are cut off themselves do not decide the outcome."""
 
-STAND_BACK_S = 0.1
-"""Candidates wait a random part of this, so that one write decides mostly."""
+MAX_JITTER_S = 0.1
+"""Longest random delay of a candidate, in seconds. It spreads the candidates,
+so that mostly a single write decides the election."""
 
-WEAK_S = 0.4
-"""How much longer the weakest candidate waits, in seconds: a holder tells all
-others of each change, which a slow link or processor makes late for all."""
+MAX_WEAK_VM_DELAY_S = 0.4
+"""How much longer the weakest VM waits before it becomes a candidate, in
+seconds. The holder sends each change to all other processes, and on a VM with
+a slow link or processor these changes would be late for all of them."""
 
 STRONG_CORES, STRONG_MBPS = 2.0, 100.0
-"""From here on a VM counts as strong: where a whole fleet's changes take a few
+"""Processor cores, and link rate in Mbit/s, from which on a VM has no delay as
+a candidate. Sending the changes of a whole fleet takes such a VM a few
 hundredths of its time."""
 
 
-def find_delay_s(cores: float, link_mbps: float) -> float:
-    """Return how long a VM waits before it stands for holder, in seconds."""
+def compute_candidacy_delay_s(cores: float, link_mbps: float) -> float:
+    """Return how long a VM waits before it becomes a candidate, in seconds."""
     strength = (min(1.0, cores / STRONG_CORES) + min(1.0, link_mbps / STRONG_MBPS)) / 2
-    return WEAK_S * (1.0 - strength)
+    return MAX_WEAK_VM_DELAY_S * (1.0 - strength)
 
 
 class HolderElection:
-    """Takes and keeps the holder's key while this process lives.
+    """Acquires the holder's key for this process and tracks whether it has it.
 
     Args:
         store: The store.
-        belief: Its copy.
-        mesh: Asks the others.
-        sight: When the holder was last heard.
+        fleet_view: What this process knows of the store's contents.
+        peers: Queries other processes.
+        heartbeat: When this process last received a message from the holder.
         node: This process's VM.
-        address: Where the others reach this process.
-        delay_s: How long it lets stronger VMs go first, in seconds.
+        address: Where peers reach this process.
+        candidacy_delay_s: How long this process waits for stronger VMs to
+            become the holder, in seconds.
 
     Attributes:
-        revision: Of the key as this process wrote it; 0 while it does not
-            hold it.
-        taken: Set when it takes the key.
+        revision: Revision of the key as this process wrote it; 0 while this
+            process does not have the key.
+        acquired: Set when this process acquires the key.
     """
 
     def __init__(
         self,
         store: FleetStore,
-        belief: FleetView,
-        mesh: PeerExchange,
-        sight: HolderHeartbeat,
+        fleet_view: FleetView,
+        peers: PeerExchange,
+        heartbeat: HolderHeartbeat,
         node: NodeId,
         address: Address,
-        delay_s: float = 0.0,
+        candidacy_delay_s: float = 0.0,
     ) -> None:
         self.revision = Revision(0)
-        self.taken = asyncio.Event()
+        self.acquired = asyncio.Event()
         self._store = store
-        self._belief = belief
-        self._mesh = mesh
-        self._sight = sight
+        self._fleet_view = fleet_view
+        self._peers = peers
+        self._heartbeat = heartbeat
         self._record = HolderRecord(node, address, secrets.token_hex(6))
-        self._delay_s = delay_s
-        self._word_until = float("-inf")
+        self._candidacy_delay_s = candidacy_delay_s
+        self._provisional_until = float("-inf")
 
     @property
-    def claims(self) -> bool:
-        """Whether this process wrote the key and knows of no later writer."""
+    def holds_key(self) -> bool:
+        """Whether this process wrote the key and knows of no later write."""
         if not self.revision:
             return False
-        item = self._belief.mirror.get(HOLDER_KEY)
+        item = self._fleet_view.mirror.get(HOLDER_KEY)
         return item is None or item.revision <= self.revision
 
     @property
-    def holds(self) -> bool:
+    def may_plan(self) -> bool:
         """Whether this process may plan now.
 
-        The time that a VM stands still counts: a process that was frozen
-        wakes up with a clock on which no time has passed.
+        The time for which the VM was suspended counts. On the loop's clock no
+        time passes meanwhile, so a process that was frozen would take its
+        last confirmation for recent.
         """
-        return self.claims and (self.confirmed or self.provisional)
+        return self.holds_key and (self.store_answers or self.provisional)
 
     @property
-    def lead(self) -> HolderTerm | None:
-        """What this process tells others while it may plan."""
-        if not self.holds:
+    def term(self) -> HolderTerm | None:
+        """The term that this process announces to peers while it may plan."""
+        if not self.may_plan:
             return None
         return HolderTerm(self._record.start, 0.0, self.provisional)
 
     @property
     def provisional(self) -> bool:
-        """Whether it plans on the others' word that the store is down."""
-        return not self.confirmed and read_boot_clock() < self._word_until
+        """Whether only the peers' reports of an outage allow planning.
+
+        The store does not answer this process, and peers have confirmed that
+        it is down for them too.
+        """
+        return not self.store_answers and read_boot_clock() < self._provisional_until
 
     @property
-    def confirmed(self) -> bool:
-        """Whether the store answered this process a moment ago."""
-        return read_boot_clock() - self._belief.store_confirmed_at < TRUST_S
+    def store_answers(self) -> bool:
+        """Whether the store has answered this process recently."""
+        return read_boot_clock() - self._fleet_view.store_confirmed_at < STORE_TRUST_S
 
     async def run(self) -> None:
-        """Stand for holder until cancelled."""
+        """Keep the key or try to acquire it, until cancelled."""
         while True:
-            await asyncio.sleep(CHECK_S)
-            if self.revision and not self.claims:
+            await asyncio.sleep(CHECK_PAUSE_S)
+            if self.revision and not self.holds_key:
                 _log.warning("holder-lost", reason="another process took over")
                 self.revision = Revision(0)
-            if self.claims:
-                await self._ask_whether_down()
-            elif self.confirmed:
+            if self.holds_key:
+                await self._check_store_outage()
+            elif self.store_answers:
                 if await self._is_vacant():
-                    await self._take()
+                    await self._write_key()
             else:
-                await self._inherit()
+                await self._resume_earlier_start()
 
     async def resign(self) -> None:
-        """Remove the key, so that another takes over at once."""
-        if not self.claims:
+        """Remove the key, so that another process takes over at once."""
+        if not self.holds_key:
             return
         revision, self.revision = self.revision, Revision(0)
         await self._store.commit([(HOLDER_KEY, revision)], [], [HOLDER_KEY])
 
-    async def _ask_whether_down(self) -> None:
-        """Learn whether the store is away for all, or only for this VM."""
-        age_s = read_boot_clock() - self._belief.store_confirmed_at
-        if age_s < TRUST_S * 0.6 or read_boot_clock() < self._word_until - WORD_S / 2:
+    async def _check_store_outage(self) -> None:
+        """Find out whether the store is down for all or only for this VM."""
+        age_s = read_boot_clock() - self._fleet_view.store_confirmed_at
+        if (
+            age_s < STORE_TRUST_S * 0.6
+            or read_boot_clock() < self._provisional_until - PEER_REPORTS_VALID_S / 2
+        ):
             return
-        asked_at = read_boot_clock()
-        others = [
-            one.peer_address
-            for one in self._belief.nodes.values()
-            if one.node != self._record.node
+        requested_at = read_boot_clock()
+        addresses = [
+            record.peer_address
+            for record in self._fleet_view.nodes.values()
+            if record.node != self._record.node
         ]
-        # Where only this VM is cut off, or an answer was lost, some say so
-        # already; all are asked only where these reach nothing either.
-        random.shuffle(others)
-        some, rest = others[:MOST_ASKED], others[MOST_ASKED:]
-        words = await asyncio.gather(*map(self._mesh.query_store_status, some))
-        if all(word is False for word in words):
-            words += await asyncio.gather(*map(self._mesh.query_store_status, rest))
-        if others and all(word is False for word in words):
-            if read_boot_clock() >= self._word_until:
-                _log.warning("holding-provisionally", asked=len(others))
-            self._word_until = asked_at + WORD_S
-
-    async def _inherit(self) -> None:
-        """Go on for an earlier start of this process while the store is down.
-
-        That start is over, since this one has its address, and nobody else
-        can have taken the key while the store is down for all.
+        # If only this VM is cut off, or an answer was lost, a sample of the
+        # peers shows it already. All peers are queried only if each of the
+        # sample reports that it doesn't reach the store.
+        random.shuffle(addresses)
+        sample, rest = addresses[:MAX_PEERS_QUERIED], addresses[MAX_PEERS_QUERIED:]
+        reports = await asyncio.gather(*map(self._peers.query_store_status, sample))
+        if all(reachable is False for reachable in reports):
+            reports += await asyncio.gather(*map(self._peers.query_store_status, rest))
+        if addresses and all(reachable is False for reachable in reports):
+            if read_boot_clock() >= self._provisional_until:
+                _log.warning("holding-provisionally", asked=len(addresses))
+            self._provisional_until = requested_at + PEER_REPORTS_VALID_S
+
+    async def _resume_earlier_start(self) -> None:
+        """Continue as the holder after a restart while the store is down.
+
+        The earlier start of this process has ended, since this start listens
+        at its address, and no other process can have acquired the key while
+        the store is down for all.
         """
-        holder = self._belief.holder
-        item = self._belief.mirror.get(HOLDER_KEY)
+        holder = self._fleet_view.holder
+        item = self._fleet_view.mirror.get(HOLDER_KEY)
         if holder is None or item is None or holder.node != self._record.node:
             return
-        await self._ask_whether_down()
-        if read_boot_clock() < self._word_until and not self.confirmed:
-            self._hold(item.revision, inherited=True)
+        await self._check_store_outage()
+        if read_boot_clock() < self._provisional_until and not self.store_answers:
+            self._on_acquired(item.revision, inherited=True)
 
     async def _is_vacant(self) -> bool:
-        """Tell whether nobody plans, as far as others know too."""
-        holder = self._belief.holder
+        """Tell whether no process plans, as far as this one and peers know."""
+        holder = self._fleet_view.holder
         if holder is None:
-            await asyncio.sleep(self._delay_s + random.random() * STAND_BACK_S)
-            return self._belief.holder is None
+            await asyncio.sleep(
+                self._candidacy_delay_s + random.random() * MAX_JITTER_S
+            )
+            return self._fleet_view.holder is None
         if holder.node == self._record.node:
-            # Written by an earlier start of this process.
+            # An earlier start of this process wrote the key.
             return True
-        unheard_s = self._sight.compute_age_s(holder)
-        if unheard_s < ENDED_S:
+        age_s = self._heartbeat.compute_age_s(holder)
+        if age_s < ENDED_HOLDER_TIMEOUT_S:
             return False
-        if unheard_s < UNHEARD_S and not self._sight.is_unresponsive(holder):
-            # Between two words of it there is nothing to doubt. Were each
-            # process to try its address meanwhile, it would be asked by the
-            # whole fleet all the time.
+        if age_s < HOLDER_TIMEOUT_S and not self._heartbeat.is_unresponsive(holder):
+            # Between two messages of the holder there is no reason to suspect
+            # it. If each process tried to connect to it meanwhile, the whole
+            # fleet would do so all the time.
             return False
         ended = await is_connection_refused(holder.peer_address)
-        unheard_s = ENDED_S if ended else UNHEARD_S
-        if self._sight.compute_age_s(holder) < unheard_s:
+        timeout_s = ENDED_HOLDER_TIMEOUT_S if ended else HOLDER_TIMEOUT_S
+        if self._heartbeat.compute_age_s(holder) < timeout_s:
             return False
-        await asyncio.sleep(self._delay_s + random.random() * STAND_BACK_S)
-        others = [
-            one.peer_address
-            for one in self._belief.nodes.values()
-            if one.node not in (self._record.node, holder.node)
+        await asyncio.sleep(self._candidacy_delay_s + random.random() * MAX_JITTER_S)
+        addresses = [
+            record.peer_address
+            for record in self._fleet_view.nodes.values()
+            if record.node not in (self._record.node, holder.node)
         ]
-        others = random.sample(others, min(len(others), MOST_ASKED))
-        heard = await asyncio.gather(*map(self._mesh.query_holder_age, others))
-        ages = [age for age in heard if age is not None]
-        if others and not ages:
-            # Whom nobody answers is cut off itself.
+        addresses = random.sample(addresses, min(len(addresses), MAX_PEERS_QUERIED))
+        answers = await asyncio.gather(*map(self._peers.query_holder_age, addresses))
+        ages = [age for age in answers if age is not None]
+        if addresses and not ages:
+            # If no peer answers, this process is cut off itself.
             return False
-        if any(age < unheard_s for age in ages):
+        if any(age < timeout_s for age in ages):
             return False
-        return self._belief.holder == holder
+        return self._fleet_view.holder == holder
 
-    async def _take(self) -> None:
-        current = self._belief.mirror.get(HOLDER_KEY)
+    async def _write_key(self) -> None:
+        current = self._fleet_view.mirror.get(HOLDER_KEY)
         expected = Revision(0) if current is None else current.revision
         value = msgspec.json.encode(self._record)
-        done = await self._store.commit(
+        committed = await self._store.commit(
             [(HOLDER_KEY, expected)], [KeyWrite(HOLDER_KEY, value)]
         )
-        if not isinstance(done, Err):
-            self._hold(done.ok_value)
-        elif done.err_value is StoreFault.UNKNOWN:
-            await self._settle(value)
-
-    async def _settle(self, value: bytes) -> None:
-        """Find out whether a write without an answer was done."""
-        found = await self._store.get(HOLDER_KEY)
-        if isinstance(found, Err) or found.ok_value is None:
+        if not isinstance(committed, Err):
+            self._on_acquired(committed.ok_value)
+        elif committed.err_value is StoreFault.UNKNOWN:
+            await self._resolve_unknown_write(value)
+
+    async def _resolve_unknown_write(self, value: bytes) -> None:
+        """Find out whether a write whose answer was lost has been applied."""
+        stored = await self._store.get(HOLDER_KEY)
+        if isinstance(stored, Err) or stored.ok_value is None:
             return
-        if found.ok_value.value == value:
-            self._hold(found.ok_value.revision)
+        if stored.ok_value.value == value:
+            self._on_acquired(stored.ok_value.revision)
 
-    def _hold(self, revision: Revision, *, inherited: bool = False) -> None:
+    def _on_acquired(self, revision: Revision, *, inherited: bool = False) -> None:
         self.revision = revision
-        self.taken.set()
+        self.acquired.set()
         _log.info("holder-taken", revision=revision, inherited=inherited)
--- a/src/zinniaspool/keeper/engines.py
+++ b/src/zinniaspool/keeper/engines.py
@@ -1,4 +1,4 @@
-"""What the holder needs of engines, however they are addressed."""
+"""What the holder requires of engines, whatever protocol they speak."""
 
 from typing import Protocol
 
@@ -9,18 +9,18 @@
 from zinniaspool.core.ids import Address
 from zinniaspool.http import TransportFailure
 
-__all__ = ["Engines"]
+__all__ = ["EngineControl"]
 
 
-class Engines(Protocol):
-    """Gives orders to engines and asks for their state."""
+class EngineControl(Protocol):
+    """Sends orders to engines and queries their status."""
 
-    async def send(self, address: Address, order: GroupOrder) -> OrderOutcome:
-        """Give an order; tell what is known of its outcome."""
+    async def send_order(self, address: Address, order: GroupOrder) -> OrderOutcome:
+        """Send an order; return what is known of its outcome."""
         ...
 
-    async def ask(
+    async def query_status(
         self, address: Address, timeout_s: float
     ) -> Result[EngineStatus, TransportFailure]:
-        """Ask an engine for its state."""
+        """Query the status of an engine."""
         ...
--- a/src/zinniaspool/keeper/holder.py
+++ b/src/zinniaspool/keeper/holder.py
@@ -1,4 +1,9 @@
-"""The holder's work: sees the fleet, plans, gives orders."""
+"""Planning of replica groups by the control process that is the holder.
+
+While this process is the holder, it reads the instances from its view of the
+fleet, has ``FormationPlanner`` decide which groups there are, writes the plans
+to the store and sends the resulting orders to the engines.
+"""
 
 import asyncio
 from collections import Counter
@@ -23,176 +28,204 @@
 from zinniaspool.core.ids import Epoch, FabricDomainId, ModelName, NodeId, ServiceName
 from zinniaspool.fleet import FleetView
 from zinniaspool.keeper.election import HolderElection
-from zinniaspool.keeper.engines import Engines
-from zinniaspool.keeper.plans import PlanBook
+from zinniaspool.keeper.engines import EngineControl
+from zinniaspool.keeper.plans import PlanStore
 
 __all__ = ["GroupHolder"]
 
 _log = structlog.get_logger(__name__)
 
-IDLE_S = 0.25
-"""Longest pause between two looks, in seconds; what is seen ends it sooner."""
-
-ASK_S = 0.12
-"""Longest wait for an engine's answer about itself, in seconds: an engine
-answers at once or is not there."""
+MAX_PASS_PAUSE_S = 0.25
+"""Longest pause between two passes of the planner, in seconds. A change of the
+instances or of the catalog, or the end of a task, starts the next one
+sooner."""
 
-CHECK_WAITS_S = (0.12, 0.3)
-"""Waits for the answers to two questions, in seconds, after which an engine
-counts as lost. The first can be lost on the way; the second allows for a link
-or a processor of ours that is busy for a moment."""
+STATUS_TIMEOUT_S = 0.12
+"""Longest wait for an engine's status, in seconds. An engine that runs answers
+at once."""
 
-ASKED_AT_ONCE = 96
-"""Engines that are asked together: about as many answers as a VM of half a
-core reads in the time that one may take."""
+CHECK_TIMEOUTS_S = (0.12, 0.3)
+"""Timeouts of two consecutive status queries, in seconds. An engine that
+answers neither counts as unreachable. The first query can be lost on the way;
+the second allows for a link or a processor of this VM that is busy for a
+moment."""
 
-OWN_LAG_S = 0.06
-"""By how much a wait may end too late before its outcome counts for nothing,
-in seconds: this process itself was held up, and answers may lie unread."""
+MAX_CONCURRENT_QUERIES = 96
+"""How many engines are queried at once. A VM with half a core reads about this
+many answers within the timeout of one query."""
 
-CHECK_PAUSE_S = 0.4
-"""Shortest pause between two checks of one group, in seconds: each costs a
-question to each of its VMs."""
+MAX_LOCAL_LAG_S = 0.06
+"""How late a query's timeout may fire before its outcome is ignored, in
+seconds. If it fires later, this process itself was delayed, and the answer may
+have arrived without being read."""
 
-REGAIN_S = 1.5
-"""Pause between questions to one that counts as lost, in seconds."""
+MIN_CHECK_PAUSE_S = 0.4
+"""Shortest pause between two checks of one group, in seconds. Each check costs
+a query to each of the group's VMs."""
 
+RECHECK_PAUSE_S = 1.5
+"""Pause between queries to instances that count as unreachable, in seconds."""
 
-OUTAGE_ASK_S = 0.12
-"""Pause between questions to the engines of groups under way while the store
-is down, in seconds: about as late as their entries are otherwise."""
+OUTAGE_POLL_PAUSE_S = 0.12
+"""Pause between queries to the engines of groups in a transitional phase while
+the store is down, in seconds. Their records in the store lag by about as much
+at other times."""
 
-_UNDER_WAY = frozenset({GroupPhase.FORMING, GroupPhase.CLOSING, GroupPhase.ENDING})
+_TRANSITIONAL_PHASES = frozenset(
+    {GroupPhase.FORMING, GroupPhase.CLOSING, GroupPhase.ENDING}
+)
 
-SMOOTH_S = 1.5
-"""Time over which demand is averaged, in seconds: about as long as a request
-takes, so that single ones do not move VMs."""
+DEMAND_AVERAGING_S = 1.5
+"""Time over which demand is averaged, in seconds. It is about as long as a
+request takes, so that single requests do not cause VMs to be reassigned."""
 
-HELD_UP_S = 0.05
-"""Pause between looks while this process may not plan for a moment, since
-neither the store nor the others have told it that it still may, in seconds."""
+NOT_ALLOWED_PAUSE_S = 0.05
+"""Pause between checks while this process may not plan for a moment, since
+neither the store nor the other processes have confirmed that it still may, in
+seconds."""
 
-SETTLE_CHECK_S = 0.02
-"""Pause between looks whether owed plans are written, in seconds."""
+SAVED_CHECK_PAUSE_S = 0.02
+"""Pause between checks whether all plans are in the store, in seconds."""
 
-SETTLE_S = 6.2
-"""For how long before loads begin to count nothing is formed, in seconds: VMs
-that all start at once write their entries over some four seconds, and whoever
-forms groups of the first ones finds too few left for the others."""
+FORMATION_LEAD_S = 6.2
+"""How long before loads of weights begin to be limited the first groups are
+formed, in seconds. VMs that all start at once write their records over about
+four seconds; a holder that forms groups of the first VMs finds too few left
+for the other groups."""
 
 
 class GroupHolder:
-    """Plans while this process is the holder.
+    """Plans replica groups while this process is the holder.
 
     Args:
-        belief: What is known of the fleet.
-        election: Tells whether this process is the holder.
-        plans: Plans in the store.
-        engines: Gives orders.
-        list_demands: Returns how much the models are asked for.
-        load_window_s: Over how long loads of weights are counted.
-        free_until: Until when they are not, in seconds.
+        fleet_view: What this process knows of the fleet.
+        election: Decides whether this process is the holder.
+        plans: The plans in the store.
+        engines: Sends orders to engines and queries their status.
+        list_demands: Returns the current demand for each model.
+        load_window_s: Length of the window in which loads of weights are
+            counted against their limit, in seconds.
+        loads_unlimited_until: Time until which loads are not counted, in
+            seconds on the loop's clock.
+
+    Attributes:
+        order_counts: Number of orders sent, by action and outcome.
     """
 
     def __init__(
         self,
-        belief: FleetView,
+        fleet_view: FleetView,
         election: HolderElection,
-        plans: PlanBook,
-        engines: Engines,
+        plans: PlanStore,
+        engines: EngineControl,
         list_demands: Callable[[], list[ModelDemandReport]],
         load_window_s: float,
-        free_until: float,
+        loads_unlimited_until: float,
     ) -> None:
-        self._belief = belief
+        self._fleet_view = fleet_view
         self._election = election
         self._plans = plans
         self._engines = engines
         self._list_demands = list_demands
         self._load_window_s = load_window_s
-        self._free_until = free_until
+        self._loads_unlimited_until = loads_unlimited_until
         self._changed = asyncio.Event()
         self._tasks: set[asyncio.Task[Any]] = set()
         self._planner: FormationPlanner | None = None
         self._epoch = 0
         self._saving = 0
-        self._owed: set[FabricDomainId] = set()
-        self._asked_at = float("-inf")
-        self._checked: dict[str, float] = {}
-        self._regain_at = 0.0
-        self.orders: Counter[tuple[OrderAction, OrderOutcome]] = Counter()
-        self._smooth: dict[tuple[ServiceName, ModelName], float] = {}
-        self._smoothed_at = 0.0
-        belief.on_instances.append(self._changed.set)
-        belief.on_catalog.append(self._changed.set)
+        self._unsaved: set[FabricDomainId] = set()
+        self._outage_polled_at = float("-inf")
+        self._checked_at: dict[str, float] = {}
+        self._recheck_at = 0.0
+        self.order_counts: Counter[tuple[OrderAction, OrderOutcome]] = Counter()
+        self._average_demand: dict[tuple[ServiceName, ModelName], float] = {}
+        self._averaged_at = 0.0
+        fleet_view.on_instances.append(self._changed.set)
+        fleet_view.on_catalog.append(self._changed.set)
 
     async def run(self) -> None:
-        """Plan whenever this process holds the key, until cancelled."""
+        """Plan whenever this process has the holder's key, until cancelled."""
         while True:
-            await self._election.taken.wait()
-            self._election.taken.clear()
-            while self._election.claims:
-                if self._election.holds and self._belief.catalog is not None:
-                    await self._hold()
+            await self._election.acquired.wait()
+            self._election.acquired.clear()
+            while self._election.holds_key:
+                if self._election.may_plan and self._fleet_view.catalog is not None:
+                    await self._plan_groups()
                 else:
-                    await asyncio.sleep(HELD_UP_S)
+                    await asyncio.sleep(NOT_ALLOWED_PAUSE_S)
+
+    def check_group(self, instance: InstanceId, reported_by: NodeId) -> None:
+        """Query all members of the group of an instance that stalled.
 
-    def suspect(self, instance: InstanceId, told_by: NodeId) -> None:
-        """Check the group of an instance that has fallen silent."""
-        if self._planner is None or not self._election.holds:
+        Args:
+            instance: The head whose requests get no events.
+            reported_by: The VM whose process reported it.
+        """
+        if self._planner is None or not self._election.may_plan:
             return
         record = self._planner.find_group(instance)
         if record is None:
             return
         now = asyncio.get_running_loop().time()
-        if now - self._checked.get(record.group, float("-inf")) < CHECK_PAUSE_S:
+        if now - self._checked_at.get(record.group, float("-inf")) < MIN_CHECK_PAUSE_S:
             return
-        self._checked[record.group] = now
-        _log.info("group-suspected", group=record.group, head=instance, told_by=told_by)
-        for one in record.members:
-            self._start(self._check(one))
-
-    def _smooth_demand(self, now: float) -> None:
-        passed_s = now - self._smoothed_at
-        self._smoothed_at = now
-        weight = min(1.0, passed_s / SMOOTH_S)
-        fresh = {(one.service, one.model): one.busy for one in self._list_demands()}
-        for key in fresh.keys() | self._smooth.keys():
-            before = self._smooth.get(key, 0.0)
-            self._smooth[key] = before + weight * (fresh.get(key, 0.0) - before)
+        self._checked_at[record.group] = now
+        _log.info(
+            "group-suspected", group=record.group, head=instance, told_by=reported_by
+        )
+        for member in record.members:
+            self._start(self._check_instance(member))
+
+    def _update_average_demand(self, now: float) -> None:
+        passed_s = now - self._averaged_at
+        self._averaged_at = now
+        weight = min(1.0, passed_s / DEMAND_AVERAGING_S)
+        current = {
+            (demand.service, demand.model): demand.busy
+            for demand in self._list_demands()
+        }
+        for key in current.keys() | self._average_demand.keys():
+            before = self._average_demand.get(key, 0.0)
+            self._average_demand[key] = before + weight * (
+                current.get(key, 0.0) - before
+            )
 
     @property
-    def holds(self) -> bool:
+    def is_planning(self) -> bool:
         """Whether this process plans groups now."""
         return self._planner is not None
 
     @property
-    def domains_looked_at(self) -> int:
-        """Fabric domains that this holder's looks went through, in all."""
+    def domains_scanned(self) -> int:
+        """How many fabric domains the planner's passes scanned in total."""
         return 0 if self._planner is None else self._planner.domains_scanned
 
     def list_runs(self) -> list[GroupRun]:
-        """Return the groups under this process's care."""
+        """Return the groups that this process manages."""
         return [] if self._planner is None else self._planner.list_runs()
 
-    async def _hold(self) -> None:
+    async def _plan_groups(self) -> None:
         loop = asyncio.get_running_loop()
-        self._belief.start_decoding_instances()
+        self._fleet_view.start_decoding_instances()
         planner = FormationPlanner(
-            self._next_epoch, self._load_window_s, self._free_until, self._note_move
+            self._next_epoch,
+            self._load_window_s,
+            self._loads_unlimited_until,
+            self._log_transition,
         )
         self._planner = planner
         self._restore(planner)
-        await self._verify(planner)
-        planner.defer_formation(self._free_until - SETTLE_S)
-        # Until another process takes over, the plans in memory are the newest:
-        # those in the store are from before an outage.
-        while self._election.claims:
+        await self._query_all_engines(planner)
+        planner.defer_formation(self._loads_unlimited_until - FORMATION_LEAD_S)
+        # Until another process takes over, the plans in memory are the newest;
+        # those in the store may be from before an outage.
+        while self._election.holds_key:
             self._changed.clear()
-            if not self._election.holds:
-                await asyncio.sleep(HELD_UP_S)
+            if not self._election.may_plan:
+                await asyncio.sleep(NOT_ALLOWED_PAUSE_S)
                 continue
-            catalog = self._belief.catalog
+            catalog = self._fleet_view.catalog
             assert catalog is not None
             planner.configure(
                 {
@@ -202,105 +235,118 @@
                 },
                 loop.time(),
             )
-            planner.update_instances(self._belief.instances)
-            # A group whose VMs are all dark changes no entry by its end: the
-            # others learn of it by this word alone, seconds before the store.
-            self._belief.update_unreachable(planner.unreachable, loop.time())
-            self._smooth_demand(loop.time())
-            planner.set_demand(self._smooth)
+            planner.update_instances(self._fleet_view.instances)
+            # If all VMs of a group are unreachable, none of them updates its
+            # record when the group ends. Other processes learn of that only
+            # from this set, seconds before the records expire in the store.
+            self._fleet_view.update_unreachable(planner.unreachable, loop.time())
+            self._update_average_demand(loop.time())
+            planner.set_demand(self._average_demand)
             writes, orders = planner.step(loop.time())
             for write in writes:
-                self._start(self._save(planner, write))
+                self._start(self._save_plan(planner, write))
             for order in orders:
-                self._start(self._give(planner, order))
-            self._ask_lost(planner, loop.time())
-            self._bridge_outage(planner, loop.time())
+                self._start(self._send_order(planner, order))
+            self._recheck_unreachable(planner, loop.time())
+            self._handle_store_outage(planner, loop.time())
             try:
-                async with asyncio.timeout(IDLE_S):
+                async with asyncio.timeout(MAX_PASS_PAUSE_S):
                     await self._changed.wait()
             except TimeoutError:
                 pass
         self._planner = None
-        self._belief.stop_decoding_instances()
+        self._fleet_view.stop_decoding_instances()
         for task in list(self._tasks):
             task.cancel()
 
-    async def _verify(self, planner: FormationPlanner) -> None:
-        """Ask every engine what it holds, before anything is ordered.
+    async def _query_all_engines(self, planner: FormationPlanner) -> None:
+        """Query the status of every engine before any order is sent.
 
-        Entries may be behind: while the store was down, another holder may
-        have formed groups that no entry shows yet. A VM that does not answer
-        is used only once it has.
+        The instance records in the store may be out of date: while the store
+        was down, another holder may have formed groups that no record shows
+        yet. A VM that does not answer is used only once it has answered.
         """
-        catalog = self._belief.catalog
+        catalog = self._fleet_view.catalog
         engines = [
-            one.id
-            for one in self._belief.instances.values()
+            instance.id
+            for instance in self._fleet_view.instances.values()
             if catalog is not None
-            and (spec := catalog.services.get(one.service)) is not None
+            and (spec := catalog.services.get(instance.service)) is not None
             and spec.engine is not None
         ]
-        silent = await self._list_silent(engines, ASK_S)
-        # Many answers at once keep this process busy, so that some come too
-        # late through its own fault; a sound group would be taken for lost.
-        for one in await self._list_silent(silent, CHECK_WAITS_S[1]):
-            planner.mark_unreachable(one)
-
-    async def _list_silent(
-        self, engines: Sequence[InstanceId], wait_s: float
+        unresponsive = await self._list_unresponsive(engines, STATUS_TIMEOUT_S)
+        # Many answers at once keep this process busy, so that it reads some of
+        # them too late. Without a second query a healthy group would count as
+        # unreachable.
+        for instance in await self._list_unresponsive(
+            unresponsive, CHECK_TIMEOUTS_S[1]
+        ):
+            planner.mark_unreachable(instance)
+
+    async def _list_unresponsive(
+        self, engines: Sequence[InstanceId], timeout_s: float
     ) -> list[InstanceId]:
-        """Ask engines what they hold; return those that do not answer."""
-        silent = []
-        for first in range(0, len(engines), ASKED_AT_ONCE):
-            asked = engines[first : first + ASKED_AT_ONCE]
+        """Refresh the status of engines; return those that do not answer."""
+        unresponsive = []
+        for first in range(0, len(engines), MAX_CONCURRENT_QUERIES):
+            batch = engines[first : first + MAX_CONCURRENT_QUERIES]
             answered = await asyncio.gather(
-                *(self._read_status(one, wait_s) for one in asked)
+                *(self._refresh_status(instance, timeout_s) for instance in batch)
             )
-            silent += [
-                one for one, answer in zip(asked, answered, strict=True) if not answer
+            unresponsive += [
+                instance
+                for instance, answer in zip(batch, answered, strict=True)
+                if not answer
             ]
-        return silent
+        return unresponsive
 
     @property
-    def owes(self) -> bool:
-        """Whether any plan in force is not in the store."""
-        return bool(self._owed or self._saving)
-
-    async def settle(self) -> None:
-        """Wait until the plans that are owed to the store are written."""
-        owing = True
-        while owing:
-            await asyncio.sleep(SETTLE_CHECK_S)
-            owing = self.owes
-
-    def _bridge_outage(self, planner: FormationPlanner, now: float) -> None:
-        """Do by other ways what the store does while it is there."""
+    def has_unsaved_plans(self) -> bool:
+        """Whether any plan in effect is not in the store."""
+        return bool(self._unsaved or self._saving)
+
+    async def wait_until_saved(self) -> None:
+        """Wait until all plans in effect are written to the store."""
+        unsaved = True
+        while unsaved:
+            await asyncio.sleep(SAVED_CHECK_PAUSE_S)
+            unsaved = self.has_unsaved_plans
+
+    def _handle_store_outage(self, planner: FormationPlanner, now: float) -> None:
+        """Replace the store's updates during an outage, and catch up after it.
+
+        During an outage, engines in a transitional phase are polled, since no
+        instance record reports their progress. After it, plans that could not
+        be written are handed back to the planner to be saved.
+        """
         if not self._election.provisional:
-            for domain in self._owed:
+            for domain in self._unsaved:
                 planner.on_plan_not_saved(domain)
-            self._owed.clear()
+            self._unsaved.clear()
             return
-        if now - self._asked_at < OUTAGE_ASK_S:
+        if now - self._outage_polled_at < OUTAGE_POLL_PAUSE_S:
             return
-        self._asked_at = now
+        self._outage_polled_at = now
         for run in planner.list_runs():
-            if run.phase in _UNDER_WAY:
-                for one in run.record.members:
-                    self._start(self._read_status(one))
-
-    async def _read_status(self, instance: InstanceId, wait_s: float = ASK_S) -> bool:
-        """Learn from an engine itself what it holds; False if it is silent."""
-        known = self._belief.instances.get(instance)
+            if run.phase in _TRANSITIONAL_PHASES:
+                for member in run.record.members:
+                    self._start(self._refresh_status(member))
+
+    async def _refresh_status(
+        self, instance: InstanceId, timeout_s: float = STATUS_TIMEOUT_S
+    ) -> bool:
+        """Query an engine and apply its status; return whether it answered."""
+        known = self._fleet_view.instances.get(instance)
         if known is None:
             return False
-        found = await self._engines.ask(known.address, wait_s)
-        if not isinstance(found, Ok):
+        status = await self._engines.query_status(known.address, timeout_s)
+        if not isinstance(status, Ok):
             return False
-        self._belief.apply_status(instance, found.ok_value)
+        self._fleet_view.apply_status(instance, status.ok_value)
         return True
 
     def _restore(self, planner: FormationPlanner) -> None:
-        plans = self._plans.load(self._belief.mirror)
+        plans = self._plans.load(self._fleet_view.mirror)
         for plan in plans:
             for record in plan.groups:
                 self._epoch = max(self._epoch, record.epoch)
@@ -309,32 +355,32 @@
     def _next_epoch(self) -> Epoch:
         highest = max(
             (
-                one.membership.epoch
-                for one in self._belief.instances.values()
-                if one.membership is not None
+                instance.membership.epoch
+                for instance in self._fleet_view.instances.values()
+                if instance.membership is not None
             ),
             default=0,
         )
-        self._epoch = max(self._epoch, highest, self._belief.mirror.as_of) + 1
+        self._epoch = max(self._epoch, highest, self._fleet_view.mirror.as_of) + 1
         return Epoch(self._epoch)
 
     def _start(self, work: Coroutine[Any, Any, object]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._finish)
+        task.add_done_callback(self._on_task_done)
 
-    def _finish(self, task: "asyncio.Task[Any]") -> None:
+    def _on_task_done(self, task: "asyncio.Task[Any]") -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             _log.error("duty-failed", duty="order", error=repr(task.exception()))
         self._changed.set()
 
-    async def _save(self, planner: FormationPlanner, write: PlanWrite) -> None:
+    async def _save_plan(self, planner: FormationPlanner, write: PlanWrite) -> None:
         plan: DomainPlan = write.plan
         if self._election.provisional:
-            # Nobody else can plan now. A successor that does not find this
-            # plan frees its VMs before it uses them.
-            self._owed.add(plan.domain)
+            # No other process can plan now. A later holder that does not find
+            # this plan in the store frees the plan's VMs before it uses them.
+            self._unsaved.add(plan.domain)
             planner.on_plan_saved(plan.domain)
             return
         self._saving += 1
@@ -349,14 +395,14 @@
         await asyncio.sleep(0.1)
         planner.on_plan_not_saved(plan.domain)
 
-    async def _give(self, planner: FormationPlanner, order: GroupOrder) -> None:
-        instance = self._belief.instances.get(order.instance)
-        if instance is None or not self._election.holds:
+    async def _send_order(self, planner: FormationPlanner, order: GroupOrder) -> None:
+        instance = self._fleet_view.instances.get(order.instance)
+        if instance is None or not self._election.may_plan:
             return
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        outcome = await self._engines.send(instance.address, order)
-        self.orders[order.action, outcome] += 1
+        started_at = loop.time()
+        outcome = await self._engines.send_order(instance.address, order)
+        self.order_counts[order.action, outcome] += 1
         _log.info(
             "order-given",
             instance=order.instance,
@@ -364,47 +410,50 @@
             group=order.group or "",
             model=order.model or "",
             outcome=outcome.value,
-            took_ms=int((loop.time() - began) * 1000),
+            took_ms=int((loop.time() - started_at) * 1000),
         )
         planner.on_order_outcome(order, outcome, loop.time())
         if self._election.provisional:
-            # No entry will tell the entry processes what has changed.
-            await self._read_status(order.instance)
+            # While the store is down, no instance record reports the change to
+            # the entry processes.
+            await self._refresh_status(order.instance)
 
-    async def _check(self, instance: InstanceId) -> None:
+    async def _check_instance(self, instance: InstanceId) -> None:
         loop = asyncio.get_running_loop()
-        for wait_s in CHECK_WAITS_S:
-            began = loop.time()
-            known = self._belief.instances.get(instance)
-            if known is None or await self._read_status(instance, wait_s):
+        for timeout_s in CHECK_TIMEOUTS_S:
+            started_at = loop.time()
+            known = self._fleet_view.instances.get(instance)
+            if known is None or await self._refresh_status(instance, timeout_s):
                 return
-            if loop.time() - began > wait_s + OWN_LAG_S:
+            if loop.time() - started_at > timeout_s + MAX_LOCAL_LAG_S:
                 return
         if self._planner is not None:
             _log.warning("instance-lost", instance=instance)
             self._planner.mark_unreachable(instance)
 
-    def _ask_lost(self, planner: FormationPlanner, now: float) -> None:
-        if not planner.unreachable or now < self._regain_at:
+    def _recheck_unreachable(self, planner: FormationPlanner, now: float) -> None:
+        if not planner.unreachable or now < self._recheck_at:
             return
-        self._regain_at = now + REGAIN_S
-        for one in planner.unreachable:
-            if one in self._belief.instances:
-                self._start(self._ask_again(planner, one))
-
-    async def _ask_again(self, planner: FormationPlanner, one: InstanceId) -> None:
-        if await self._read_status(one):
-            _log.info("instance-regained", instance=one)
-            planner.mark_reachable(one)
-
-    def _note_move(self, move: PhaseTransition) -> None:
-        record = move.record
+        self._recheck_at = now + RECHECK_PAUSE_S
+        for instance in planner.unreachable:
+            if instance in self._fleet_view.instances:
+                self._start(self._recheck_instance(planner, instance))
+
+    async def _recheck_instance(
+        self, planner: FormationPlanner, instance: InstanceId
+    ) -> None:
+        if await self._refresh_status(instance):
+            _log.info("instance-regained", instance=instance)
+            planner.mark_reachable(instance)
+
+    def _log_transition(self, transition: PhaseTransition) -> None:
+        record = transition.record
         _log.info(
             "group-phase",
             group=record.group,
             model=record.model,
-            phase=move.phase.value,
-            reason=move.reason,
+            phase=transition.phase.value,
+            reason=transition.reason,
             standby=record.standby,
             members=",".join(record.members),
         )
--- a/src/zinniaspool/keeper/main.py
+++ b/src/zinniaspool/keeper/main.py
@@ -1,4 +1,4 @@
-"""A control process: what it is made of, how it starts and leaves."""
+"""Composition, start and shutdown of a control process on the platform."""
 
 import asyncio
 import contextlib
@@ -21,13 +21,13 @@
     run_supervised,
 )
 from zinniaspool.http import HttpServer
-from zinniaspool.keeper.election import HolderElection, find_delay_s
-from zinniaspool.keeper.engines import Engines
+from zinniaspool.keeper.election import HolderElection, compute_candidacy_delay_s
+from zinniaspool.keeper.engines import EngineControl
 from zinniaspool.keeper.holder import GroupHolder
-from zinniaspool.keeper.metrics import make_keeper_metrics
-from zinniaspool.keeper.plans import PlanBook
+from zinniaspool.keeper.metrics import make_controller_metrics
+from zinniaspool.keeper.plans import PlanStore
 
-__all__ = ["CONNECT_S", "KeeperProcess"]
+__all__ = ["CONNECT_S", "ControllerProcess"]
 
 _log = structlog.get_logger(__name__)
 
@@ -35,35 +35,37 @@
 """Longest wait for a connection to an engine or the store, in seconds."""
 
 
-LEAD_S = 10.0
-"""For how long after the whole system's first start loads are not counted, in
-seconds: callers come some twelve seconds after it."""
+UNLIMITED_LOADS_S = 10.0
+"""How long after the first start of the whole system loads of weights are not
+limited, in seconds. Callers begin to send requests about twelve seconds after
+that start."""
 
 
-END_SPARE_S = 0.5
-"""Part of the stop time, in seconds, that is left for closing."""
+CLOSE_RESERVE_S = 0.5
+"""Part of the grace period of a shutdown that is kept for closing, in
+seconds."""
 
-STAY_CHECK_S = 0.1
-"""Pause between looks whether the store is back, in seconds."""
+OUTAGE_CHECK_PAUSE_S = 0.1
+"""Pause between checks whether the store answers again, in seconds."""
 
 
-class KeeperProcess:
-    """Stands for holder, and plans groups while it is.
+class ControllerProcess:
+    """Takes part in the election, and plans groups while it is the holder.
 
     Args:
-        node: What it is told when it starts.
+        node: Settings of this process and its VM.
         store: The store.
-        fleet: Reads what stands there.
-        engines: Gives orders.
-        metrics_port: Where metrics are served; 0 for nowhere.
+        codec: Decodes the values in the store.
+        engines: Sends orders to engines and queries their status.
+        metrics_port: Port at which metrics are served; 0 to serve none.
     """
 
     def __init__(
         self,
         node: NodeSettings,
         store: FleetStore,
-        fleet: FleetCodec,
-        engines: Engines,
+        codec: FleetCodec,
+        engines: EngineControl,
         metrics_port: int = 0,
     ) -> None:
         self._node = node
@@ -73,58 +75,60 @@
         self._stop = asyncio.Event()
         self._servers: list[HttpServer] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._belief = FleetView(fleet, decodes_instances=False)
+        self._fleet_view = FleetView(codec, decodes_instances=False)
         self._store = store
-        sight = HolderHeartbeat()
-        self._mesh = PeerExchange(
+        heartbeat = HolderHeartbeat()
+        self._peers = PeerExchange(
             node.node,
             node.failure_domain,
-            self._belief,
-            self._take_message,
-            sight,
+            self._fleet_view,
+            self._on_message,
+            heartbeat,
             self._store.probe,
-            lambda: self._election.lead,
+            lambda: self._election.term,
         )
         self._address = node.control_address
         self._election = HolderElection(
             self._store,
-            self._belief,
-            self._mesh,
-            sight,
+            self._fleet_view,
+            self._peers,
+            heartbeat,
             node.node,
             self._address,
-            find_delay_s(node.cores, node.link_mbps),
+            compute_candidacy_delay_s(node.cores, node.link_mbps),
         )
         self._follower = FleetFollower(
             self._store,
-            self._belief,
-            self._mesh,
-            sight,
-            lambda: self._election.claims,
+            self._fleet_view,
+            self._peers,
+            heartbeat,
+            lambda: self._election.holds_key,
             self._list_seeds,
-            self._mesh.sum_demands,
+            self._peers.sum_demands,
             make_location(node),
         )
         self._holder = GroupHolder(
-            self._belief,
+            self._fleet_view,
             self._election,
-            PlanBook(self._store),
+            PlanStore(self._store),
             engines,
-            self._mesh.sum_demands,
+            self._peers.sum_demands,
             node.load_window_s,
-            time.monotonic() + LEAD_S if node.first_start else 0.0,
+            time.monotonic() + UNLIMITED_LOADS_S if node.first_start else 0.0,
         )
 
     def stop(self) -> None:
-        """Tell the process to stop in order."""
+        """Request an orderly shutdown of the process."""
         self._stop.set()
 
     async def run(self) -> None:
-        """Run until the process is told to stop."""
+        """Run until a shutdown is requested."""
         _log.info("started", first_start=self._node.first_start)
-        await self._mesh.listen(self._address)
+        await self._peers.listen(self._address)
         if self._metrics_address is not None:
-            metrics = make_keeper_metrics(self._belief, self._store, self._holder)
+            metrics = make_controller_metrics(
+                self._fleet_view, self._store, self._holder
+            )
             self._servers.append(await metrics.listen(self._metrics_address))
         self._tasks = [
             asyncio.create_task(run_supervised("follower", self._follower.run)),
@@ -132,43 +136,53 @@
             asyncio.create_task(run_supervised("holder", self._holder.run)),
         ]
         await self._stop.wait()
-        await self._stay_through_outage()
-        if not self._holder.owes:
-            # With plans that are not written, its successor would know less
-            # than this VM's next start, which takes over from here.
+        await self._plan_through_outage()
+        if not self._holder.has_unsaved_plans:
+            # If plans are not in the store, another holder would know less
+            # than the next start on this VM, which continues as the holder.
             await self._election.resign()
         await self.abort()
         _log.info("stopped")
 
-    async def _stay_through_outage(self) -> None:
-        """Plan on while nobody could take over, as long as there is time."""
-        ends = asyncio.get_running_loop().time() + self._node.grace_s - END_SPARE_S
-        while self._election.claims and not self._election.confirmed:
-            if asyncio.get_running_loop().time() > ends:
+    async def _plan_through_outage(self) -> None:
+        """Go on planning while no process can take over.
+
+        This ends with the grace period of the shutdown. Once the store
+        answers again, the plans that it lacks are saved.
+        """
+        ends_at = (
+            asyncio.get_running_loop().time() + self._node.grace_s - CLOSE_RESERVE_S
+        )
+        while self._election.holds_key and not self._election.store_answers:
+            if asyncio.get_running_loop().time() > ends_at:
                 return
-            await asyncio.sleep(STAY_CHECK_S)
+            await asyncio.sleep(OUTAGE_CHECK_PAUSE_S)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(ends):
-                await self._holder.settle()
+            async with asyncio.timeout_at(ends_at):
+                await self._holder.wait_until_saved()
 
     @property
-    def holds(self) -> bool:
+    def may_plan(self) -> bool:
         """Whether this process plans groups now."""
-        return self._election.holds
+        return self._election.may_plan
 
     async def abort(self) -> None:
-        """Close everything at once."""
+        """Cancel all tasks and close all connections at once."""
         for task in self._tasks:
             task.cancel()
-        self._mesh.close()
+        self._peers.close()
         for server in self._servers:
             await server.drain(0.0)
 
     def _list_seeds(self) -> list[Address]:
-        known = [one.peer_address for one in self._belief.nodes.values()]
-        return [one for one in [*known, *self._node.seeds] if one != self._address]
+        known = [record.peer_address for record in self._fleet_view.nodes.values()]
+        return [
+            address
+            for address in [*known, *self._node.seeds]
+            if address != self._address
+        ]
 
-    async def _take_message(self, hello: Hello, message: Message) -> Message | None:
+    async def _on_message(self, hello: Hello, message: Message) -> Message | None:
         if isinstance(message, StalledTarget):
-            self._holder.suspect(message.instance, message.node)
+            self._holder.check_group(message.instance, message.node)
         return None
--- a/src/zinniaspool/keeper/metrics.py
+++ b/src/zinniaspool/keeper/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the control program on the users' platform."""
+"""Metrics of the control process on the users' platform."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -9,13 +9,13 @@
 from zinniaspool.telemetry import Sample
 from zinniaspool.telemetry.page import MetricsPage
 
-__all__ = ["make_keeper_metrics"]
+__all__ = ["make_controller_metrics"]
 
 
-def make_keeper_metrics(
-    belief: FleetView, store: FleetStore, holder: GroupHolder
+def make_controller_metrics(
+    fleet_view: FleetView, store: FleetStore, holder: GroupHolder
 ) -> MetricsPage:
-    """Return the page of a control process."""
+    """Return the metrics page of a control process."""
     page = MetricsPage()
 
     def list_groups() -> Iterator[Sample]:
@@ -26,23 +26,23 @@
             yield Sample({"model": model, "phase": phase}, count)
 
     def list_orders() -> Iterator[Sample]:
-        for (action, outcome), count in holder.orders.items():
+        for (action, outcome), count in holder.order_counts.items():
             labels = {"action": action.value, "outcome": outcome.value}
             yield Sample(labels, count)
 
-    def list_holding() -> Iterator[Sample]:
-        yield Sample({}, float(holder.holds))
+    def list_planning() -> Iterator[Sample]:
+        yield Sample({}, float(holder.is_planning))
 
-    def list_looks() -> Iterator[Sample]:
-        yield Sample({}, holder.domains_looked_at)
+    def list_scans() -> Iterator[Sample]:
+        yield Sample({}, holder.domains_scanned)
 
     page.count(
         "zinniaspool_planner_domain_looks",
-        "Fabric domains that the planner went through, over all its looks.",
-        list_looks,
+        "Fabric domains that the planner scanned, over all its passes.",
+        list_scans,
     )
     page.gauge("zinniaspool_groups", "Groups by model and phase.", list_groups)
-    page.count("zinniaspool_orders", "Orders given, by outcome.", list_orders)
-    page.gauge("zinniaspool_holder", "Whether this process plans.", list_holding)
-    add_fleet_metrics(page, belief, store)
+    page.count("zinniaspool_orders", "Orders sent, by action and outcome.", list_orders)
+    page.gauge("zinniaspool_holder", "Whether this process plans.", list_planning)
+    add_fleet_metrics(page, fleet_view, store)
     return page
--- a/src/zinniaspool/keeper/plans.py
+++ b/src/zinniaspool/keeper/plans.py
@@ -1,4 +1,4 @@
-"""Plans in the store: read back by whoever takes over."""
+"""Plans of replica groups in the store, read by the next holder."""
 
 import msgspec
 import structlog
@@ -10,16 +10,16 @@
 from zinniaspool.core.storage import KeyWrite, StoreFault
 from zinniaspool.fleet import FleetStore
 
-__all__ = ["PlanBook"]
+__all__ = ["PlanStore"]
 
 _log = structlog.get_logger(__name__)
 
 
-class PlanBook:
-    """The plans of all fabric domains, one value each.
+class PlanStore:
+    """Reads and writes the plans of all fabric domains, one value for each.
 
     Args:
-        store: Where they last.
+        store: The store that keeps the plans.
     """
 
     def __init__(self, store: FleetStore) -> None:
@@ -27,7 +27,7 @@
         self._revisions: dict[FabricDomainId, Revision] = {}
 
     def load(self, mirror: StoreMirror) -> list[DomainPlan]:
-        """Return the plans that are in the store."""
+        """Return the plans that are in the store, and keep their revisions."""
         plans = []
         self._revisions.clear()
         for item in mirror.list_by_prefix(PLANS_PREFIX):
@@ -39,30 +39,37 @@
                 _log.error("plan-unreadable", domain=domain, reason=str(error))
         return plans
 
-    async def save(self, plan: DomainPlan, holder: Revision) -> StoreFault | None:
-        """Write a plan; return None once it is certainly there.
+    async def save(
+        self, plan: DomainPlan, holder_revision: Revision
+    ) -> StoreFault | None:
+        """Write a plan; return None if it is certainly in the store.
 
-        The holder's key is expected as this process wrote it, so that one
-        that lost it while standing still writes nothing over its successor.
+        The write requires that the holder's key is as this process wrote it.
+        So a process that lost the key while it was suspended does not
+        overwrite a plan of its successor.
+
+        Args:
+            plan: The plan.
+            holder_revision: Revision of the holder's key that is required.
         """
         key = PLANS_PREFIX + plan.domain
         value = msgspec.json.encode(plan)
         known = self._revisions.get(plan.domain, Revision(0))
-        done = await self._store.commit(
-            [(HOLDER_KEY, holder), (key, known)], [KeyWrite(key, value)]
+        committed = await self._store.commit(
+            [(HOLDER_KEY, holder_revision), (key, known)], [KeyWrite(key, value)]
         )
-        if not isinstance(done, Err):
-            self._revisions[plan.domain] = done.ok_value
+        if not isinstance(committed, Err):
+            self._revisions[plan.domain] = committed.ok_value
             return None
-        if done.err_value not in (StoreFault.UNKNOWN, StoreFault.CONFLICT):
-            return done.err_value
-        # Its answer was lost, or an earlier try was done late: what is there
-        # now decides.
-        found = await self._store.get(key)
-        if isinstance(found, Err):
+        if committed.err_value not in (StoreFault.UNKNOWN, StoreFault.CONFLICT):
+            return committed.err_value
+        # The answer was lost, or an earlier attempt was applied late. The
+        # value that is in the store now decides.
+        stored = await self._store.get(key)
+        if isinstance(stored, Err):
             return StoreFault.UNKNOWN
-        item = found.ok_value
+        item = stored.ok_value
         if item is not None and item.value == value:
             self._revisions[plan.domain] = item.revision
             return None
-        return done.err_value
+        return committed.err_value
--- a/src/zinniaspool/platform/keeper.py
+++ b/src/zinniaspool/platform/keeper.py
@@ -2,7 +2,7 @@
 
 from zinniaspool.fleet import NodeSettings
 from zinniaspool.http import HttpClient
-from zinniaspool.keeper.main import CONNECT_S, KeeperProcess
+from zinniaspool.keeper.main import CONNECT_S, ControllerProcess
 from zinniaspool.platform.kvstore import KvStore
 from zinniaspool.platform.orders import EngineClient
 from zinniaspool.platform.program import run_on_platform
@@ -11,14 +11,14 @@
 __all__ = ["make_controller", "run"]
 
 
-def make_controller(node: NodeSettings, metrics_port: int = 0) -> KeeperProcess:
+def make_controller(node: NodeSettings, metrics_port: int = 0) -> ControllerProcess:
     """Return a control process that uses the platform's protocols.
 
     Args:
         node: The settings that the platform wrote.
         metrics_port: Port at which metrics are served; 0 for none.
     """
-    return KeeperProcess(
+    return ControllerProcess(
         node,
         KvStore(HttpClient(connect_s=CONNECT_S), node.store_address),
         PlatformCodec(),
--- a/src/zinniaspool/platform/orders.py
+++ b/src/zinniaspool/platform/orders.py
@@ -49,7 +49,7 @@
     def __init__(self, client: HttpClient) -> None:
         self._client = client
 
-    async def send(self, address: Address, order: GroupOrder) -> OrderOutcome:
+    async def send_order(self, address: Address, order: GroupOrder) -> OrderOutcome:
         """Send an order and return what is known of its outcome."""
         headers = Headers.of(
             content_type="application/json",
@@ -65,7 +65,7 @@
             return OrderOutcome.UNANSWERED
         return _OUTCOMES.get(status, OrderOutcome.REFUSED)
 
-    async def ask(
+    async def query_status(
         self, address: Address, timeout_s: float
     ) -> Result[EngineStatus, TransportFailure]:
         """Request an engine's status."""
--- a/tests/holder_fakes.py
+++ b/tests/holder_fakes.py
@@ -237,12 +237,12 @@
     async def _keep_lease(self) -> None:
         requested_at = self._simulation.now
         if self.store.has_lease:
-            renewed = await self.store.renew()
+            renewed = await self.store.renew_lease()
             if isinstance(renewed, Ok):
                 self.holder.on_lease_renewed(requested_at)
             elif not self.store.has_lease:
                 self.holder.end_tenure()
-        elif await self.store.take():
+        elif await self.store.acquire_lease():
             self.holder.start_tenure(requested_at, self._simulation.now)
 
     async def _poll_engines(self) -> None:
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -8,7 +8,7 @@
 from zinniaspool.fleet import NodeSettings
 from zinniaspool.gateway.main import GatewayProcess
 from zinniaspool.http import Headers, HttpClient, Request, TransportError
-from zinniaspool.keeper.main import KeeperProcess
+from zinniaspool.keeper.main import ControllerProcess
 from zinniaspool.platform.gateway import make_gateway
 from zinniaspool.platform.keeper import make_controller
 from zinniaspool_standins import installation as standins
@@ -49,7 +49,7 @@
 
     file: NodeSettings
     gateway: GatewayProcess
-    keeper: KeeperProcess
+    keeper: ControllerProcess
     tasks: list["asyncio.Task[None]"]
 
 
@@ -124,7 +124,7 @@
         keeper = self.nodes[name].keeper
         for task in keeper._tasks:
             task.cancel()
-        keeper._mesh._listener._handler = say_nothing
+        keeper._peers._listener._handler = say_nothing
 
     def assert_sound(self) -> None:
         """Check what the runners saw: whole groups, no VM in two."""
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines leave only while their sender may still give them."""
+"""Tests that an order leaves only while its sender may still send orders."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
 
 
 def test_an_order_of_a_holder_whose_lease_lapsed_does_not_leave() -> None:
-    """An engine would follow two holders at once.
+    """Without the check an engine would follow the orders of two holders.
 
-    A holder decides on an order and is held up before it leaves. Its lease
-    lapses meanwhile and another process plans. The last look, right before
-    the order leaves, finds that out.
+    A holder decides on an order and is delayed before the order leaves.
+    Meanwhile its lease expires and another process plans. The last check,
+    right before the order leaves, detects that.
     """
 
     async def trial() -> None:
@@ -24,23 +24,23 @@
         order = Order(OrderKind.UNLOAD, VmId("v"), Epoch(3))
         sent: list[int] = []
         lease_holds = True
-        calls.order(
+        calls.send_order(
             order,
             engine.address,
             lambda: lease_holds,
             lambda _, status: sent.append(status),
         )
         lease_holds = False
-        await calls.settle()
+        await calls.wait_for_orders()
         assert not engine.calls and not sent
         lease_holds = True
-        calls.order(
+        calls.send_order(
             order,
             engine.address,
             lambda: lease_holds,
             lambda _, status: sent.append(status),
         )
-        await calls.settle()
+        await calls.wait_for_orders()
         assert len(engine.calls) == 1
         await asyncio.sleep(0)
         await engine.close()
--- a/tests/test_installation_store.py
+++ b/tests/test_installation_store.py
@@ -68,7 +68,7 @@
         async with Installation.running(nodes=3, engines=6) as made:
             await made.settle()
             holder = next(
-                name for name, node in made.nodes.items() if node.keeper.holds
+                name for name, node in made.nodes.items() if node.keeper.may_plan
             )
             await made.kill(holder)
             head, before = made.heads("large")[0], made.groups("large")
@@ -148,7 +148,9 @@
     async def test() -> None:
         async with Installation.running(nodes=3, engines=6) as made:
             await made.settle()
-            await eventually(lambda: any(n.keeper.holds for n in made.nodes.values()))
+            await eventually(
+                lambda: any(n.keeper.may_plan for n in made.nodes.values())
+            )
             made.store.faults.down = "busy"
             await asyncio.sleep(2.5)
             head, before = made.heads("large")[0], made.groups("large")
@@ -178,14 +180,18 @@
     async def test() -> None:
         async with Installation.running(nodes=3) as made:
             await made.settle()
-            await eventually(lambda: any(n.keeper.holds for n in made.nodes.values()))
-            cut = next(name for name, node in made.nodes.items() if node.keeper.holds)
+            await eventually(
+                lambda: any(n.keeper.may_plan for n in made.nodes.values())
+            )
+            cut = next(
+                name for name, node in made.nodes.items() if node.keeper.may_plan
+            )
             made.store.faults.down = "silent"
             made.store.faults.only = [made.nodes[cut].file.store_address]
             seen = []
 
             def others_hold() -> bool:
-                holding = [n for n, node in made.nodes.items() if node.keeper.holds]
+                holding = [n for n, node in made.nodes.items() if node.keeper.may_plan]
                 seen.append(len(holding))
                 return bool(holding) and cut not in holding
 
@@ -231,8 +237,10 @@
     async def test() -> None:
         async with Installation.running(nodes=3) as made:
             await made.settle()
-            await eventually(lambda: any(n.keeper.holds for n in made.nodes.values()))
-            holder = next(n for n, node in made.nodes.items() if node.keeper.holds)
+            await eventually(
+                lambda: any(n.keeper.may_plan for n in made.nodes.values())
+            )
+            holder = next(n for n, node in made.nodes.items() if node.keeper.may_plan)
             made.freeze_control(holder)
             await asyncio.sleep(0.05)
             made.keys = ["another"]
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""What the holder finds out about lost VMs reaches every entry process."""
+"""Tests that every entry process learns which VMs the holder cannot reach."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -58,16 +58,17 @@
 
 SERVICE, MODEL, SIZE = ServiceName("drafting"), ModelName("large"), 3
 DOMAINS = ("d0", "d1")
-GROUPS_A_DOMAIN = 4
-VMS = 100
-TOLD_S = 0.3
-"""Within how many seconds of the holder's verdict nobody uses a target."""
+GROUPS_PER_DOMAIN = 4
+VM_COUNT = 100
+MAX_PROPAGATION_S = 0.3
+"""Longest time, in seconds, between the holder's decision that a target is
+unreachable and the moment from which no entry process uses it."""
 
-LINK_S = 0.002
+LINK_DELAY_S = 0.002
 
 
-def make_entry(number: int) -> tuple[str, dict[str, Any]]:
-    """Return one engine's id and entry, in a group of three that serves."""
+def make_instance_record(number: int) -> tuple[str, dict[str, Any]]:
+    """Return the id and record of an engine in a serving group of three."""
     group, rank = divmod(number, SIZE)
     return f"i-{number:02}", {
         "service": SERVICE,
@@ -80,7 +81,7 @@
         "seq-no": 1,
         "born": 1,
         "models": [{"name": MODEL}],
-        "domain": DOMAINS[group // GROUPS_A_DOMAIN],
+        "domain": DOMAINS[group // GROUPS_PER_DOMAIN],
         "staged": [MODEL],
         "group": {
             "name": f"g{group}",
@@ -91,26 +92,30 @@
     }
 
 
-ENTRIES = dict(make_entry(n) for n in range(SIZE * GROUPS_A_DOMAIN * len(DOMAINS)))
+RECORDS = dict(
+    make_instance_record(n) for n in range(SIZE * GROUPS_PER_DOMAIN * len(DOMAINS))
+)
 
 
 def list_engines(domain: str) -> set[InstanceId]:
-    return {InstanceId(n) for n, entry in ENTRIES.items() if entry["domain"] == domain}
+    return {
+        InstanceId(n) for n, record in RECORDS.items() if record["domain"] == domain
+    }
 
 
 def list_heads(domain: str) -> set[InstanceId]:
     return {
         InstanceId(name)
         for name in list_engines(domain)
-        if ENTRIES[name]["group"]["rank"] == 0
+        if RECORDS[name]["group"]["rank"] == 0
     }
 
 
 def make_plan(domain: str) -> DomainPlan:
     groups: dict[str, list[InstanceId]] = {}
-    for name, entry in ENTRIES.items():
-        if entry["domain"] == domain:
-            groups.setdefault(entry["group"]["name"], []).append(InstanceId(name))
+    for name, record in RECORDS.items():
+        if record["domain"] == domain:
+            groups.setdefault(record["group"]["name"], []).append(InstanceId(name))
     records = tuple(
         GroupRecord(GroupId(group), Epoch(2), SERVICE, MODEL, tuple(members))
         for group, members in groups.items()
@@ -119,8 +124,8 @@
 
 
 @dataclass
-class Store:
-    """The platform's store: it keeps entries of dark VMs for seconds."""
+class FakeStore:
+    """The platform's store; it keeps unreachable VMs' records for seconds."""
 
     events: list[MirrorEvent] = field(default_factory=list)
 
@@ -132,9 +137,9 @@
     async def watch(
         self, prefix: str, after: Revision, wait_s: float, overdue_s: float
     ) -> Result[WatchResult, StoreFault]:
-        ends = asyncio.get_running_loop().time() + wait_s
+        ends_at = asyncio.get_running_loop().time() + wait_s
         while len(self.events) <= after:
-            if asyncio.get_running_loop().time() >= ends:
+            if asyncio.get_running_loop().time() >= ends_at:
                 break
             await asyncio.sleep(0.01)
         return Ok(WatchResult(self.events[after:], Revision(len(self.events))))
@@ -143,22 +148,22 @@
         return True
 
 
-class Engines:
-    """All engines; the dark ones answer nobody."""
+class FakeEngines:
+    """All engines; the unreachable ones answer no query."""
 
     def __init__(self) -> None:
-        self.dark: set[InstanceId] = set()
-        self._names = {entry["address"]: name for name, entry in ENTRIES.items()}
+        self.unreachable: set[InstanceId] = set()
+        self._names = {record["address"]: name for name, record in RECORDS.items()}
 
-    async def ask(
+    async def query_status(
         self, address: Address, timeout_s: float
     ) -> Result[EngineStatus, TransportFailure]:
         name = InstanceId(self._names[address])
-        if name in self.dark:
+        if name in self.unreachable:
             await asyncio.sleep(timeout_s)
             return Err(TransportFailure.TIMED_OUT)
-        await asyncio.sleep(LINK_S)
-        value = msgspec.json.encode(ENTRIES[name])
+        await asyncio.sleep(LINK_DELAY_S)
+        value = msgspec.json.encode(RECORDS[name])
         known = decode_instance(f"servers/{name}", value).unwrap()
         return Ok(
             EngineStatus(
@@ -172,77 +177,77 @@
             )
         )
 
-    async def send(self, address: Address, order: GroupOrder) -> OrderOutcome:
-        await asyncio.sleep(LINK_S)
-        if order.instance in self.dark:
+    async def send_order(self, address: Address, order: GroupOrder) -> OrderOutcome:
+        await asyncio.sleep(LINK_DELAY_S)
+        if order.instance in self.unreachable:
             return OrderOutcome.UNANSWERED
         return OrderOutcome.ACCEPTED
 
 
-class Plans:
-    """Plans that are written at once."""
+class FakePlanStore:
+    """Plans whose writes succeed at once."""
 
     def load(self, mirror: object) -> list[DomainPlan]:
         return [make_plan(domain) for domain in DOMAINS]
 
-    async def save(self, plan: DomainPlan, holder: Revision) -> None:
+    async def save(self, plan: DomainPlan, holder_revision: Revision) -> None:
         return None
 
 
-class Election:
-    """Says what the test wants."""
+class FakeElection:
+    """An election whose outcome the test sets."""
 
     def __init__(self) -> None:
-        self.taken = asyncio.Event()
-        self.claims = self.holds = self.confirmed = False
+        self.acquired = asyncio.Event()
+        self.holds_key = self.may_plan = self.store_answers = False
         self.provisional = False
         self.revision = Revision(0)
 
-    def take(self) -> None:
-        self.claims = self.holds = self.confirmed = True
-        self.taken.set()
+    def acquire(self) -> None:
+        self.holds_key = self.may_plan = self.store_answers = True
+        self.acquired.set()
 
 
-class Process:
-    """One process of the fleet, without its sockets."""
+class SimulatedProcess:
+    """One process of the fleet, without sockets."""
 
-    def __init__(self, fleet: "Fleet", number: int, *, entry: bool) -> None:
+    def __init__(self, fleet: "SimulatedFleet", number: int, *, entry: bool) -> None:
         self.node = NodeId(f"vm-{number}")
         self.domain = FailureDomainId(f"hall-{number % 3}")
-        self.belief = FleetView(PlatformCodec(), decodes_instances=entry)
-        self.election = Election()
-        self.index = TargetIndex(self.belief, self.domain)
+        self.fleet_view = FleetView(PlatformCodec(), decodes_instances=entry)
+        self.election = FakeElection()
+        self.index = TargetIndex(self.fleet_view, self.domain)
         if entry:
-            self.belief.on_instances.append(self._refresh)
+            self.fleet_view.on_instances.append(self._refresh)
         sight = HolderHeartbeat()
-        self.mesh = PeerExchange(
+        self.peers = PeerExchange(
             self.node,
             self.domain,
-            self.belief,
+            self.fleet_view,
             None,  # type: ignore[arg-type]
             sight,
             fleet.store.probe,
             lambda: (
                 HolderTerm(f"start-{number}", 0.0, False)
-                if self.election.holds
+                if self.election.may_plan
                 else None
             ),
         )
         self.follower = FleetFollower(
             fleet.store,  # type: ignore[arg-type]
-            self.belief,
+            self.fleet_view,
             fleet,  # type: ignore[arg-type]
             sight,
-            lambda: self.election.claims,
+            lambda: self.election.holds_key,
             list,
             list,
             ProcessLocation(self.node, self.domain),
             make_control_address(number) if entry else None,
         )
         self.holder = GroupHolder(
-            self.belief,
+            self.fleet_view,
             self.election,  # type: ignore[arg-type]
-            Plans(),  # type: ignore[arg-type]
+            FakePlanStore(),  # type: ignore[arg-type]
             fleet.engines,
             list,
             5.0,
@@ -254,7 +259,7 @@
 
     @property
     def targets(self) -> set[InstanceId]:
-        """The heads to which this process would send a request."""
+        """The heads to which this process would send requests."""
         pool = self.index.find_pool(SERVICE, MODEL)
         return {state.target.instance for state in pool}
 
@@ -267,30 +272,34 @@
     return Address(f"10.0.0.{number}:82")
 
 
-class Fleet:
-    """Entry and control processes of many VMs in one loop."""
+class SimulatedFleet:
+    """Entry and control processes of many VMs in one event loop."""
 
     def __init__(self) -> None:
-        self.store, self.engines = Store(), Engines()
+        self.store, self.engines = FakeStore(), FakeEngines()
         self._fill_store()
-        self.controls = [Process(self, n, entry=False) for n in range(VMS)]
-        self.entries = [Process(self, n, entry=True) for n in range(VMS)]
+        self.controls = [
+            SimulatedProcess(self, n, entry=False) for n in range(VM_COUNT)
+        ]
+        self.entries = [SimulatedProcess(self, n, entry=True) for n in range(VM_COUNT)]
         self._by_address = {
-            make_control_address(n): one for n, one in enumerate(self.controls)
+            make_control_address(n): control for n, control in enumerate(self.controls)
         }
-        self._tasks: dict[Process, asyncio.Task[None]] = {}
-        for one in (*self.controls, *self.entries):
+        self._tasks: dict[SimulatedProcess, asyncio.Task[None]] = {}
+        for process in (*self.controls, *self.entries):
             items = [
                 StoredItem(event.key, event.value, event.revision)
                 for event in self.store.events
                 if event.value is not None
             ]
             as_of = Revision(len(self.store.events))
-            one.belief.apply_changes(one.belief.mirror.replace(items, as_of, 0.0))
-            self._tasks[one] = asyncio.create_task(one.run())
+            process.fleet_view.apply_changes(
+                process.fleet_view.mirror.replace(items, as_of, 0.0)
+            )
+            self._tasks[process] = asyncio.create_task(process.run())
 
     def _fill_store(self) -> None:
-        for number in range(VMS):
+        for number in range(VM_COUNT):
             record = NodeRecord(
                 NodeId(f"vm-{number}"),
                 Address(f"10.0.0.{number}:80"),
@@ -302,157 +311,165 @@
             )
             key = NODES_PREFIX + record.node
             self.store.put(key, msgspec.json.encode(record))
-        for name, entry in ENTRIES.items():
-            self.store.put(f"servers/{name}", msgspec.json.encode(entry))
+        for name, instance_record in RECORDS.items():
+            self.store.put(f"servers/{name}", msgspec.json.encode(instance_record))
         for domain in DOMAINS:
             key = PLANS_PREFIX + domain
             self.store.put(key, msgspec.json.encode(make_plan(domain)))
         self.store.put(RULES_KEY, msgspec.json.encode(make_rules(1, ["key"])))
-        self.name_holder(0)
+        self.write_holder(0)
 
-    def name_holder(self, number: int) -> None:
-        """Write who plans groups."""
+    def write_holder(self, number: int) -> None:
+        """Write to the store which process is the holder."""
         record = HolderRecord(
             NodeId(f"vm-{number}"), make_control_address(number), f"start-{number}"
         )
         self.store.put(HOLDER_KEY, msgspec.json.encode(record))
 
-    def take_over(self, number: int) -> Process:
-        """Let a control process plan groups from now on."""
-        self.name_holder(number)
-        self.controls[number].election.take()
+    def take_over(self, number: int) -> SimulatedProcess:
+        """Make a control process the holder."""
+        self.write_holder(number)
+        self.controls[number].election.acquire()
         return self.controls[number]
 
-    def kill(self, control: Process) -> None:
-        """End a VM; its peers get no answer any more."""
-        lost = [one for one in self._tasks if one.node == control.node]
-        for one in lost:
-            self._tasks.pop(one).cancel()
-        self.entries = [one for one in self.entries if one not in lost]
+    def kill(self, control: SimulatedProcess) -> None:
+        """End the processes of a VM; its peers get no answer any more."""
+        ended = [process for process in self._tasks if process.node == control.node]
+        for process in ended:
+            self._tasks.pop(process).cancel()
+        self.entries = [process for process in self.entries if process not in ended]
         self._by_address = {
-            address: one for address, one in self._by_address.items() if one != control
+            address: process
+            for address, process in self._by_address.items()
+            if process != control
         }
 
     async def request_update(
         self, address: Address, watch: FleetWatch
     ) -> FleetUpdate | None:
-        """Carry a question between two processes."""
-        await asyncio.sleep(LINK_S)
+        """Deliver a query of one process to another, and its answer."""
+        await asyncio.sleep(LINK_DELAY_S)
         asked = self._by_address.get(address)
         if asked is None:
-            await asyncio.sleep(ANSWER_TIMEOUT_S - LINK_S)
+            await asyncio.sleep(ANSWER_TIMEOUT_S - LINK_DELAY_S)
             return None
-        news = await asked.mesh._create_update(watch)
-        await asyncio.sleep(LINK_S)
+        news = await asked.peers._create_update(watch)
+        await asyncio.sleep(LINK_DELAY_S)
         return news
 
     def count_users(self, heads: set[InstanceId]) -> int:
-        """Return how many entry processes would use one of some heads."""
-        return sum(not heads.isdisjoint(one.targets) for one in self.entries)
+        """Return how many entry processes would use any of the heads."""
+        return sum(not heads.isdisjoint(process.targets) for process in self.entries)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for task in self._tasks.values():
             task.cancel()
 
 
-async def wait_until(check: Any, most_s: float) -> float:
-    """Wait until a check holds; return when that was."""
+async def wait_until(check: Any, timeout_s: float) -> float:
+    """Wait until a condition is met; return that time."""
     loop = asyncio.get_running_loop()
-    ends = loop.time() + most_s
+    ends_at = loop.time() + timeout_s
     while not check():
-        assert loop.time() < ends, "did not come true in time"
+        assert loop.time() < ends_at, "condition not met in time"
         await asyncio.sleep(0.005)
     return loop.time()
 
 
-async def await_verdict(holder: Process, lost: set[InstanceId]) -> float:
-    """Wait until a holder takes engines for lost; return when that was."""
+async def wait_until_unreachable(
+    holder: SimulatedProcess, instances: set[InstanceId]
+) -> float:
+    """Wait until a holder takes engines for unreachable; return that time."""
 
-    def judged() -> bool:
+    def are_unreachable() -> bool:
         planner = holder.holder._planner
-        return planner is not None and lost <= planner.unreachable
+        return planner is not None and instances <= planner.unreachable
 
-    return await wait_until(judged, 4.0)
+    return await wait_until(are_unreachable, 4.0)
 
 
 @pytest.mark.parametrize("killed_again", [False, True])
-def test_what_a_successor_finds_lost_is_used_by_nobody(killed_again: bool) -> None:
-    """Callers are sent to dark heads for seconds after the holder knows.
-
-    A fabric domain goes dark, and the holder is killed at the same moment.
-    Its successor asks all engines and gives the groups of that domain up. No
-    VM of them is left to change its entry, and the entries live in the store
-    for seconds more. So the verdict itself is told, also by a third holder
-    when the second is killed as soon as it knows.
+def test_what_a_new_holder_finds_unreachable_is_used_by_no_process(
+    killed_again: bool,
+) -> None:
+    """Guards against requests to heads that the holder knows are unreachable.
+
+    A fabric domain becomes unreachable, and the holder is killed at the same
+    moment. The next holder queries all engines and gives up the groups of
+    that domain. None of their VMs can update its record, and the records stay
+    in the store for seconds. So the holder announces its decision itself, and
+    so does a third holder if the second is killed right after its decision.
     """
 
     async def test() -> None:
-        fleet = Fleet()
+        fleet = SimulatedFleet()
         first = fleet.take_over(0)
         await asyncio.sleep(2.0)
-        dark, heads = list_engines("d1"), list_heads("d1")
-        assert fleet.count_users(heads) == VMS
-        fleet.engines.dark = dark
+        unreachable, heads = list_engines("d1"), list_heads("d1")
+        assert fleet.count_users(heads) == VM_COUNT
+        fleet.engines.unreachable = unreachable
         fleet.kill(first)
         await asyncio.sleep(0.7)
         holder = fleet.take_over(7)
-        known_at = await await_verdict(holder, dark)
+        decided_at = await wait_until_unreachable(holder, unreachable)
         if killed_again:
             fleet.kill(holder)
             await asyncio.sleep(0.7)
-            known_at = await await_verdict(fleet.take_over(11), dark)
-        told_at = await wait_until(lambda: not fleet.count_users(heads), 3.0)
-        assert told_at - known_at <= TOLD_S
+            decided_at = await wait_until_unreachable(fleet.take_over(11), unreachable)
+        unused_at = await wait_until(lambda: not fleet.count_users(heads), 3.0)
+        assert unused_at - decided_at <= MAX_PROPAGATION_S
         assert fleet.count_users(list_heads("d0")) == len(fleet.entries)
-        fleet.end()
+        fleet.stop()
 
     run_in_virtual_time(test)
 
 
-def test_a_wrong_verdict_is_taken_back_as_soon() -> None:
-    """Sound groups would stay unused although their VMs answer again.
+def test_a_wrong_decision_is_reverted_as_soon() -> None:
+    """Guards against healthy groups that stay unused after a wrong decision.
 
-    The holder could not reach one domain for a second and gave it up. Once
-    the VMs answer, every entry process uses what they say they hold.
+    The holder could not reach one domain for a second and gave up its groups.
+    Once the VMs answer again, every entry process uses the groups that they
+    report.
     """
 
     async def test() -> None:
-        fleet = Fleet()
-        fleet.engines.dark = list_engines("d1")
+        fleet = SimulatedFleet()
+        fleet.engines.unreachable = list_engines("d1")
         holder = fleet.take_over(0)
         heads = list_heads("d1")
-        await await_verdict(holder, list_engines("d1"))
-        await wait_until(lambda: not fleet.count_users(heads), TOLD_S)
-        fleet.engines.dark = set()
+        await wait_until_unreachable(holder, list_engines("d1"))
+        await wait_until(lambda: not fleet.count_users(heads), MAX_PROPAGATION_S)
+        fleet.engines.unreachable = set()
         planner = holder.holder._planner
         assert planner is not None
-        known_at = await wait_until(lambda: not planner.unreachable, 3.0)
-        told_at = await wait_until(lambda: fleet.count_users(heads) == VMS, 3.0)
-        assert told_at - known_at <= TOLD_S
-        fleet.end()
+        decided_at = await wait_until(lambda: not planner.unreachable, 3.0)
+        used_at = await wait_until(lambda: fleet.count_users(heads) == VM_COUNT, 3.0)
+        assert used_at - decided_at <= MAX_PROPAGATION_S
+        fleet.stop()
 
     run_in_virtual_time(test)
 
 
-def test_a_verdict_ends_with_the_holder_that_could_take_it_back() -> None:
-    """VMs that live would be unused for good after a holder's mistake.
+def test_a_decision_expires_after_the_holder_that_could_revert_it_ends() -> None:
+    """Guards against reachable VMs that stay unused after a wrong decision.
 
-    The holder judges wrongly, and is lost before it asks again. Nobody takes
-    over for seconds. An entry would have lapsed by then if its VM were gone.
+    The holder decides wrongly, and ends before it queries the VMs again. No
+    process takes over for seconds. By then the record of an unreachable VM
+    would have expired, so a VM that still has one is used again.
     """
 
     async def test() -> None:
-        fleet = Fleet()
-        fleet.engines.dark = list_engines("d1")
+        fleet = SimulatedFleet()
+        fleet.engines.unreachable = list_engines("d1")
         holder = fleet.take_over(0)
         heads = list_heads("d1")
-        await await_verdict(holder, list_engines("d1"))
-        await wait_until(lambda: not fleet.count_users(heads), TOLD_S)
+        await wait_until_unreachable(holder, list_engines("d1"))
+        await wait_until(lambda: not fleet.count_users(heads), MAX_PROPAGATION_S)
         fleet.kill(holder)
         await asyncio.sleep(2.0)
         assert not fleet.count_users(heads)
         left = len(fleet.entries)
         await wait_until(lambda: fleet.count_users(heads) == left, 4.0)
-        fleet.end()
+        fleet.stop()
 
     run_in_virtual_time(test)
--- a/tools/try_safeguards.py
+++ b/tools/try_safeguards.py
@@ -78,8 +78,8 @@
     Safeguard(
         "what the holder finds lost is told",
         "src/zinniaspool/keeper/holder.py",
-        "self._belief.update_unreachable(planner.unreachable, loop.time())",
-        "self._belief.update_unreachable((), loop.time())",
+        "self._fleet_view.update_unreachable(planner.unreachable, loop.time())",
+        "self._fleet_view.update_unreachable((), loop.time())",
         "tests/test_verdicts.py",
     ),
     Safeguard(
