--- a/src/zinniaspool/entry/answers.py
+++ b/src/zinniaspool/entry/answers.py
@@ -1,4 +1,4 @@
-"""How errors are told to callers: the table as HTTP answers."""
+"""The table of errors as HTTP answers to callers."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 __all__ = ["answer_fault", "refuse_request"]
 
-_KIND_OF_REFUSAL = {
+_ERROR_KINDS = {
     RefusalKind.MALFORMED: ErrorKind.MALFORMED_REQUEST,
     RefusalKind.HEADERS_TOO_LARGE: ErrorKind.HEADERS_TOO_LARGE,
     RefusalKind.BODY_TOO_LARGE: ErrorKind.BODY_TOO_LARGE,
@@ -27,7 +27,7 @@
 
 
 def make_answer(fault: Fault) -> Refusal:
-    """Return the whole answer for one fault."""
+    """Return the whole answer for a fault."""
     answer = ERROR_ANSWERS[fault.kind]
     retry_after = fault.retry_after or answer.retry_after
     headers = Headers.of(
@@ -48,10 +48,16 @@
 async def answer_fault(
     exchange: Exchange, fault: Fault, request: RequestId | None = None
 ) -> None:
-    """Send the answer for a fault, or cut an answer that has begun.
+    """Send the answer for a fault, or abort an answer that has begun.
 
-    An answer whose head has left cannot turn into an error any more; ending
-    it cleanly would make a part look like the whole.
+    An answer whose head has been sent can no longer become an error. If it
+    were ended regularly, the caller would take a part for the whole.
+
+    Args:
+        exchange: The exchange with the caller.
+        fault: The fault.
+        request: The request's id, for a header of the answer; None to omit
+            the header.
     """
     if exchange.started:
         exchange.abort()
@@ -63,5 +69,5 @@
 
 
 def refuse_request(kind: RefusalKind, detail: str) -> Refusal:
-    """Return the answer to a request that broke the server's limits."""
-    return make_answer(Fault(_KIND_OF_REFUSAL[kind], detail))
+    """Return the answer to a request that the HTTP server answers itself."""
+    return make_answer(Fault(_ERROR_KINDS[kind], detail))
--- a/src/zinniaspool/entry/callers.py
+++ b/src/zinniaspool/entry/callers.py
@@ -14,7 +14,7 @@
 from zinniaspool.entry.calls import CallRunner, WantedCall
 from zinniaspool.entry.credentials import Credentials
 from zinniaspool.entry.directory import EntryDirectory
-from zinniaspool.entry.once import OnceCalls
+from zinniaspool.entry.once import KeyedCallHandler
 from zinniaspool.http import Exchange
 
 __all__ = ["CallerInterface"]
@@ -62,7 +62,7 @@
         self,
         directory: EntryDirectory,
         runner: CallRunner,
-        once: OnceCalls,
+        once: KeyedCallHandler,
         credentials: Credentials,
         default_deadline_s: float,
         observe: RequestObserver = _observe_nothing,
--- a/src/zinniaspool/entry/claims.py
+++ b/src/zinniaspool/entry/claims.py
@@ -1,4 +1,8 @@
-"""Drives the slots of claims against the platform's store."""
+"""The claims of idempotency keys, in the platform's store.
+
+This module executes the store operations of the slots' state machines, which
+:mod:`zinniaspool.core.requests.claims` describes.
+"""
 
 import asyncio
 from dataclasses import dataclass
@@ -29,11 +33,11 @@
 from zinniaspool.core.requests.keys import KeyHash, RememberedKeys
 from zinniaspool.store import Store, StoreFault
 
-__all__ = ["ClaimKeeper"]
+__all__ = ["ClaimStore"]
 
 _log = structlog.get_logger(__name__)
 
-_ENDS = {
+_OUTCOMES_BY_FAULT = {
     StoreFault.CONFLICT: OperationOutcome.CONFLICT,
     StoreFault.UNKNOWN: OperationOutcome.UNKNOWN,
 }
@@ -41,142 +45,161 @@
 
 @dataclass(slots=True)
 class _Slot:
-    machine: SlotStateMachine
-    driving: asyncio.Task[None] | None = None
+    state_machine: SlotStateMachine
+    task: asyncio.Task[None] | None = None
 
 
-class ClaimKeeper:
-    """Writes claims before their requests begin.
+class ClaimStore:
+    """Writes claims to the store before their requests begin.
 
     Args:
         store: The platform's store.
-        own: This process.
-        writes_per_s: Most swaps a second of all slots together.
-        remembered: The keys that this process remembers.
+        local_owner: This process, as an owner of slots.
+        max_writes_per_s: Maximum swaps of heads per second, over all slots.
+        remembered_keys: The keys that this process remembers.
     """
 
     def __init__(
         self,
         store: Store,
-        own: SlotOwner,
-        writes_per_s: float,
-        remembered: RememberedKeys,
+        local_owner: SlotOwner,
+        max_writes_per_s: float,
+        remembered_keys: RememberedKeys,
     ) -> None:
         self._store = store
-        self._own = own
-        self._remembered = remembered
-        interval_s = SLOT_COUNT / writes_per_s
+        self._local_owner = local_owner
+        self._remembered_keys = remembered_keys
+        interval_s = SLOT_COUNT / max_writes_per_s
         self._slots = [
-            _Slot(SlotStateMachine(own, interval_s)) for _ in range(SLOT_COUNT)
+            _Slot(SlotStateMachine(local_owner, interval_s)) for _ in range(SLOT_COUNT)
         ]
-        self._left = False
-        self._waiting: dict[KeyHash, asyncio.Future[ClaimResult]] = {}
+        self._stopped = False
+        self._awaited_results: dict[KeyHash, asyncio.Future[ClaimResult]] = {}
 
-    def is_own(self, slot: int) -> bool:
-        """Whether this process drives a slot, as far as it knows."""
-        return not self.is_others(slot)
+    def is_local(self, slot: int) -> bool:
+        """Whether this process owns or acquires a slot, as far as it knows."""
+        return not self.is_remote(slot)
 
-    def is_others(self, slot: int) -> bool:
-        """Whether this process may claim nothing in a slot."""
-        return self._left or self._slots[slot].machine.state is SlotState.OTHERS
+    def is_remote(self, slot: int) -> bool:
+        """Whether this process may not claim keys of a slot."""
+        return (
+            self._stopped or self._slots[slot].state_machine.state is SlotState.OTHERS
+        )
 
     async def find_owner(self, slot: int) -> SlotOwner | None | StoreFault:
-        """Return a slot's owner as last known, asking the store if need be."""
-        machine = self._slots[slot].machine
-        if machine.owner is not None:
-            return machine.owner
+        """Return a slot's owner as last known.
+
+        If no owner is known, the slot's head is read from the store.
+        """
+        state_machine = self._slots[slot].state_machine
+        if state_machine.owner is not None:
+            return state_machine.owner
         found = await self._store.get(_head_key(slot))
         if isinstance(found, Err):
             return found.err_value
         head = None if found.ok_value is None else _decode_head(found.ok_value.value)
-        if machine.owner is None and head is not None:
-            machine.owner = head.owner
-        return machine.owner
+        if state_machine.owner is None and head is not None:
+            state_machine.owner = head.owner
+        return state_machine.owner
 
-    def leave(self) -> None:
-        """Begin nothing more; other processes may take the slots over."""
-        self._left = True
+    def stop_claiming(self) -> None:
+        """Claim no more keys, so that other processes can take over."""
+        self._stopped = True
 
     def forget_owner(self, slot: int) -> None:
-        """Note that a slot's owner is not who it was taken for."""
-        machine = self._slots[slot].machine
-        if machine.state is SlotState.OTHERS or self._left:
-            machine.owner = None
+        """Forget a slot's last known owner, because it proved to be wrong."""
+        state_machine = self._slots[slot].state_machine
+        if state_machine.state is SlotState.OTHERS or self._stopped:
+            state_machine.owner = None
+
+    def acquire(self, slot: int, previous_owner: SlotOwner | None) -> None:
+        """Acquire a slot as soon as a claim of it is submitted.
+
+        From now on the slot counts as local.
+
+        Args:
+            slot: The slot.
+            previous_owner: The owner to acquire the slot from; None if the
+                slot had none.
+        """
+        self._slots[slot].state_machine.acquire(previous_owner)
 
-    def take(self, slot: int, gone: SlotOwner | None) -> None:
-        """Take a slot from an owner when a claim is next wanted of it."""
-        self._slots[slot].machine.acquire(gone)
+    async def submit(self, slot: int, claim: Claim, deadline: float) -> ClaimResult:
+        """Submit a claim and return its result.
 
-    async def claim(self, slot: int, claim: Claim, deadline: float) -> ClaimResult:
-        """Return what became of a claim, at the latest at a deadline.
+        A claim without a result at the deadline is cancelled and counts as
+        refused: its request must not run.
 
-        A claim that is given up counts as refused: its request must not run.
+        Args:
+            slot: The slot of the claim's key.
+            claim: The claim.
+            deadline: Time on the event loop's clock.
         """
         loop = asyncio.get_running_loop()
-        settled: asyncio.Future[ClaimResult] = loop.create_future()
-        self._waiting[claim.key] = settled
-        self._slots[slot].machine.submit(claim)
-        self._drive(slot)
+        result: asyncio.Future[ClaimResult] = loop.create_future()
+        self._awaited_results[claim.key] = result
+        self._slots[slot].state_machine.submit(claim)
+        self._start_task(slot)
         try:
             async with asyncio.timeout_at(deadline):
-                return await settled
+                return await result
         except TimeoutError:
             return ClaimResult(claim.key, ClaimOutcome.REFUSED)
         finally:
-            del self._waiting[claim.key]
-            self._slots[slot].machine.cancel(claim.key)
+            del self._awaited_results[claim.key]
+            self._slots[slot].state_machine.cancel(claim.key)
 
-    def forget(self, slot: int, key: KeyHash) -> None:
-        """Drop a claim that need not be remembered."""
-        self._slots[slot].machine.discard(key)
+    def discard(self, slot: int, key: KeyHash) -> None:
+        """Discard a claim that has expired or whose request never ran."""
+        self._slots[slot].state_machine.discard(key)
 
     def drop_archives(self) -> None:
-        """Drop the archives whose keys are all forgotten."""
+        """Drop the archives that contain no remembered key."""
         for slot in self._slots:
-            slot.machine.drop_archives(self._remembered)
+            slot.state_machine.drop_archives(self._remembered_keys)
 
     def close(self) -> None:
-        """Stop driving the slots."""
+        """Cancel the tasks that execute the slots' operations."""
         for slot in self._slots:
-            if slot.driving is not None:
-                slot.driving.cancel()
+            if slot.task is not None:
+                slot.task.cancel()
 
-    def _drive(self, number: int) -> None:
+    def _start_task(self, number: int) -> None:
         slot = self._slots[number]
-        if slot.driving is None:
+        if slot.task is None:
             loop = asyncio.get_running_loop()
-            slot.driving = loop.create_task(self._drive_slot(number))
+            slot.task = loop.create_task(self._run_slot(number))
 
-    async def _drive_slot(self, number: int) -> None:
+    async def _run_slot(self, number: int) -> None:
         slot = self._slots[number]
         try:
-            while slot.machine.has_pending:
-                await self._wait_for_turn(slot.machine)
-                await self._take_steps(number)
+            while slot.state_machine.has_pending:
+                await self._wait_until_writable(slot.state_machine)
+                await self._execute_operations(number)
         finally:
-            slot.driving = None
+            slot.task = None
 
-    async def _wait_for_turn(self, machine: SlotStateMachine) -> None:
-        wait_s = machine.next_write_time() - asyncio.get_running_loop().time()
+    async def _wait_until_writable(self, state_machine: SlotStateMachine) -> None:
+        wait_s = state_machine.next_write_time() - asyncio.get_running_loop().time()
         if wait_s > 0:
             await asyncio.sleep(wait_s)
 
-    async def _take_steps(self, number: int) -> None:
-        machine = self._slots[number].machine
+    async def _execute_operations(self, number: int) -> None:
+        state_machine = self._slots[number].state_machine
         loop = asyncio.get_running_loop()
-        while (operation := machine.next_operation(loop.time())) is not None:
-            answer = await self._ask_store(number, operation)
-            machine.handle_response(operation, answer, loop.time())
-            for claim in machine.pop_recalled_claims():
-                self._remembered.record_remote(
+        while (operation := state_machine.next_operation(loop.time())) is not None:
+            response = await self._execute(number, operation)
+            state_machine.handle_response(operation, response, loop.time())
+            for claim in state_machine.pop_recalled_claims():
+                self._remembered_keys.record_remote(
                     claim.key, claim.fingerprint, loop.time()
                 )
-            for settled in machine.pop_results():
-                waiting = self._waiting.get(settled.key)
-                if waiting is not None and not waiting.done():
-                    waiting.set_result(settled)
+            for result in state_machine.pop_results():
+                awaited = self._awaited_results.get(result.key)
+                if awaited is not None and not awaited.done():
+                    awaited.set_result(result)
 
-    async def _ask_store(self, slot: int, operation: SlotOperation) -> StoreResponse:
+    async def _execute(self, slot: int, operation: SlotOperation) -> StoreResponse:
         match operation:
             case ReadHead():
                 return await self._read_head(slot)
@@ -218,8 +241,8 @@
     async def _write(self, key: str, value: str, expected: Revision) -> StoreResponse:
         written = await self._store.swap(key, value, expected)
         if isinstance(written, Err):
-            end = _ENDS.get(written.err_value, OperationOutcome.FAILED)
-            return StoreResponse(end)
+            outcome = _OUTCOMES_BY_FAULT.get(written.err_value, OperationOutcome.FAILED)
+            return StoreResponse(outcome)
         return StoreResponse(OperationOutcome.DONE, written.ok_value)
 
     async def _delete(self, key: str) -> StoreResponse:
--- a/src/zinniaspool/entry/dump.py
+++ b/src/zinniaspool/entry/dump.py
@@ -6,7 +6,7 @@
 from zinniaspool.core.ids import CustomerId, UpstreamId
 from zinniaspool.core.requests import CustomerQueueState, UpstreamState
 from zinniaspool.entry.gate import Gate
-from zinniaspool.entry.once import OnceCalls, OnceState
+from zinniaspool.entry.once import KeyedCallHandler, KeyedCallState
 from zinniaspool.entry.services import ServiceIndex, ServiceLine
 
 __all__ = ["RequestsState", "dump_requests"]
@@ -62,10 +62,12 @@
     in_progress: int
     brownout: int
     services: list[ServiceDump]
-    keys: OnceState
+    keys: KeyedCallState
 
 
-def dump_requests(index: ServiceIndex, gate: Gate, once: OnceCalls) -> RequestsState:
+def dump_requests(
+    index: ServiceIndex, gate: Gate, once: KeyedCallHandler
+) -> RequestsState:
     """Return the state of the requests now."""
     now = asyncio.get_running_loop().time()
     return RequestsState(
--- a/src/zinniaspool/entry/handover.py
+++ b/src/zinniaspool/entry/handover.py
@@ -1,4 +1,4 @@
-"""Kept answers of a leaving process, for the next owners of its slots."""
+"""Outcomes that a leaving process stores for the next owners of its slots."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -11,17 +11,17 @@
 from zinniaspool.core.ids import Revision
 from zinniaspool.core.requests.claims import find_slot
 from zinniaspool.core.requests.keys import Fingerprint, KeyHash, StoredOutcome
-from zinniaspool.entry.sinks import EndedCall, KeptAnswer
+from zinniaspool.entry.sinks import CallOutcome, StoredAnswer
 from zinniaspool.store import Store, settle_swap
 
 __all__ = ["AnswerHandover"]
 
 _log = structlog.get_logger(__name__)
-_MOST_PAGE_BYTES = 400 * 1024
-"""Bytes of one page in the store, below its limit of a megabyte."""
+_MAX_PAGE_BYTES = 400 * 1024
+"""Maximum bytes of one page, below the store's limit of a megabyte."""
 
 
-class _KeptRecord(msgspec.Struct, frozen=True, array_like=True):
+class _StoredRecord(msgspec.Struct, frozen=True, array_like=True):
     key: KeyHash
     fingerprint: Fingerprint
     status: int
@@ -31,53 +31,65 @@
 
 
 class _Page(msgspec.Struct, frozen=True):
-    """The answers of one slot's keys, the newest last."""
+    """The stored outcomes of one slot's keys.
+
+    Attributes:
+        tag: Identifies the write, so that a writer that received no response
+            can find out whether it took effect.
+        records: The outcomes, newest last.
+    """
 
     tag: str
-    records: tuple[_KeptRecord, ...]
+    records: tuple[_StoredRecord, ...]
 
 
 class AnswerHandover:
-    """Leaves answers in the store and finds those that others left.
+    """Stores outcomes for other processes and finds those they stored.
 
-    Claims alone tell the next owner of a slot that a request was begun. After
-    a planned stop its callers would read "outcome unknown" for answers that
-    were kept until a moment ago; so a leaving process writes them down, in
-    one value a slot.
+    Claims tell the next owner of a slot only that a request was begun. After
+    a planned stop its callers would therefore read "outcome unknown", though
+    the answers were stored in memory until the process ended. So a leaving
+    process writes the outcomes to the platform's store, one value per slot.
 
     Args:
         store: The platform's store.
-        own: Unique to this start of the process.
+        writer_id: Identifies this incarnation of the process.
     """
 
-    def __init__(self, store: Store, own: str) -> None:
+    def __init__(self, store: Store, writer_id: str) -> None:
         self._store = store
-        self._own = own
-        self._written = 0
-
-    async def leave(self, kept: Iterable[StoredOutcome[EndedCall]]) -> None:
-        """Write the answers down, as far as the store takes them."""
-        pages: dict[int, list[_KeptRecord]] = defaultdict(list)
-        for each in kept:
-            record = _make_record(each)
+        self._writer_id = writer_id
+        self._write_count = 0
+
+    async def store_outcomes(
+        self, outcomes: Iterable[StoredOutcome[CallOutcome]]
+    ) -> None:
+        """Write outcomes to the store, as far as it accepts them.
+
+        Answers without a body and the oldest outcomes of a full page are left
+        out. A slot whose value cannot be written is logged.
+        """
+        pages: dict[int, list[_StoredRecord]] = defaultdict(list)
+        for outcome in outcomes:
+            record = _make_record(outcome)
             if record is not None:
-                pages[find_slot(each.key)].append(record)
+                pages[find_slot(outcome.key)].append(record)
         for slot, records in pages.items():
             await self._write(slot, records)
 
-    async def find(
+    async def find_outcome(
         self, slot: int, key: KeyHash, fingerprint: Fingerprint
-    ) -> EndedCall | None:
-        """Return how a request ended, if a process that left wrote it down."""
+    ) -> CallOutcome | None:
+        """Return the outcome of a request if a process that left stored it."""
         found = await self._store.get(_make_key(slot))
         if isinstance(found, Err) or found.ok_value is None:
             return None
         for record in _decode(found.ok_value.value):
             if (record.key, record.fingerprint) == (key, fingerprint):
-                return _read_record(record)
+                return _parse_record(record)
         return None
 
-    async def _write(self, slot: int, records: list[_KeptRecord]) -> None:
+    async def _write(self, slot: int, records: list[_StoredRecord]) -> None:
         found = await self._store.get(_make_key(slot))
         if isinstance(found, Err):
             _log.warning("answers-not-left", slot=slot, fault=found.err_value.value)
@@ -88,8 +100,11 @@
             expected = value.revision
             earlier = {record.key: record for record in _decode(value.value)}
             merged = {**earlier, **merged}
-        self._written += 1
-        page = _Page(f"{self._own}:{self._written}", _shorten(list(merged.values())))
+        self._write_count += 1
+        page = _Page(
+            f"{self._writer_id}:{self._write_count}",
+            _keep_newest(list(merged.values())),
+        )
         written = await settle_swap(
             self._store,
             _make_key(slot),
@@ -104,34 +119,34 @@
     return f"claims/answers/{slot}"
 
 
-def _decode(value: str) -> tuple[_KeptRecord, ...]:
+def _decode(value: str) -> tuple[_StoredRecord, ...]:
     try:
         return msgspec.json.decode(value, type=_Page).records
     except msgspec.MsgspecError:
         return ()
 
 
-def _shorten(records: list[_KeptRecord]) -> tuple[_KeptRecord, ...]:
-    """Return the newest records that a page has room for."""
-    left, kept = _MOST_PAGE_BYTES, []
+def _keep_newest(records: list[_StoredRecord]) -> tuple[_StoredRecord, ...]:
+    """Return the newest records that fit into a page."""
+    left_bytes, newest = _MAX_PAGE_BYTES, []
     for record in reversed(records):
-        left -= len(record.body) + len(record.content_type) + 100
-        if left < 0:
+        left_bytes -= len(record.body) + len(record.content_type) + 100
+        if left_bytes < 0:
             break
-        kept.append(record)
-    return tuple(reversed(kept))
+        newest.append(record)
+    return tuple(reversed(newest))
 
 
-def _make_record(kept: StoredOutcome[EndedCall]) -> _KeptRecord | None:
-    ended = kept.outcome
-    if ended.fault is not None:
-        return _KeptRecord(kept.key, kept.fingerprint, 0, "", b"", ended.fault)
-    if ended.answer is None or ended.answer.body is None:
+def _make_record(stored: StoredOutcome[CallOutcome]) -> _StoredRecord | None:
+    outcome = stored.outcome
+    if outcome.fault is not None:
+        return _StoredRecord(stored.key, stored.fingerprint, 0, "", b"", outcome.fault)
+    if outcome.answer is None or outcome.answer.body is None:
         return None
-    answer = ended.answer
-    return _KeptRecord(
-        kept.key,
-        kept.fingerprint,
+    answer = outcome.answer
+    return _StoredRecord(
+        stored.key,
+        stored.fingerprint,
         answer.status,
         answer.content_type,
         answer.body or b"",
@@ -139,7 +154,7 @@
     )
 
 
-def _read_record(record: _KeptRecord) -> EndedCall:
+def _parse_record(record: _StoredRecord) -> CallOutcome:
     if record.fault is not None:
-        return EndedCall(None, record.fault)
-    return EndedCall(KeptAnswer(record.status, record.content_type, record.body))
+        return CallOutcome(None, record.fault)
+    return CallOutcome(StoredAnswer(record.status, record.content_type, record.body))
--- a/src/zinniaspool/entry/keyed.py
+++ b/src/zinniaspool/entry/keyed.py
@@ -1,4 +1,7 @@
-"""Keyed calls that this process runs, each at most once."""
+"""Execution of the keyed calls that this process may run.
+
+A call runs at most once. Its repeats are answered with its outcome.
+"""
 
 import asyncio
 from dataclasses import dataclass
@@ -16,21 +19,21 @@
     KeyTable,
 )
 from zinniaspool.entry.calls import CallRunner, ResolvedCall, WantedCall
-from zinniaspool.entry.claims import ClaimKeeper
+from zinniaspool.entry.claims import ClaimStore
 from zinniaspool.entry.handover import AnswerHandover
 from zinniaspool.entry.sinks import (
-    MOST_FORWARDED_BYTES,
-    MOST_KEPT_BYTES,
-    EndedCall,
-    KeepingSink,
+    MAX_FORWARDED_BYTES,
+    MAX_STORED_BYTES,
+    CallOutcome,
+    RecordingSink,
 )
 from zinniaspool.http import Exchange
 
-__all__ = ["KeyedCall", "KeyedEnd", "KeyedRuns", "refuse_keyed"]
+__all__ = ["KeyedCall", "KeyedCallRunner", "KeyedOutcome", "refuse_keyed"]
 
 _log = structlog.get_logger(__name__)
 
-_FAULTS = {
+_ERROR_KINDS = {
     KeyDecision.REUSED: ErrorKind.KEY_REUSED,
     KeyDecision.UNKNOWN: ErrorKind.KEY_OWNER_GONE,
     KeyDecision.DROPPED: ErrorKind.ANSWER_EXPIRED,
@@ -39,128 +42,142 @@
 
 
 @dataclass(slots=True)
-class _Running:
-    sink: KeepingSink
-    task: asyncio.Task[EndedCall]
+class _RunningCall:
+    sink: RecordingSink
+    task: asyncio.Task[CallOutcome]
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedCall:
-    """A call, its key, and where the key's claim belongs.
+    """A call with its idempotency key and the slot of the key's claim.
 
     Attributes:
-        wanted: The call.
-        key: As the caller wrote it.
-        hash: What it is remembered by.
-        fingerprint: Of the request.
-        slot: The slot of a caller's own key; None for a session's key.
-        until: Remember the key at least this long.
+        request: The call.
+        key: The key as the caller sent it, without quotes.
+        hash: The hash under which the key is remembered.
+        fingerprint: The fingerprint of the call.
+        slot: The slot in which the key is claimed; None for a key of a
+            session, which needs no claim.
+        remember_until: Time until which the key is at least remembered.
     """
 
-    wanted: WantedCall
+    request: WantedCall
     key: IdempotencyKey
     hash: KeyHash
     fingerprint: Fingerprint
     slot: int | None
-    until: float = 0.0
+    remember_until: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class KeyedEnd:
-    """How a call ended, and whether its caller has the answer already."""
+class KeyedOutcome:
+    """The outcome of a keyed call, and how far its answer was delivered.
+
+    Attributes:
+        outcome: The outcome of the call.
+        delivery_started: Whether the answer, or the beginning of it, has been
+            sent to the caller while the call ran.
+    """
 
-    ended: EndedCall
-    passed_on: bool = False
+    outcome: CallOutcome
+    delivery_started: bool = False
 
 
-class KeyedRuns:
-    """Runs keyed calls here and answers their repeats from what is kept.
+class KeyedCallRunner:
+    """Runs keyed calls and gives their repeats the stored outcomes.
 
     Args:
-        runner: Runs calls.
-        keeper: Writes claims.
-        table: The keys remembered here.
-        handover: Finds answers that other processes left.
-        repeat_wait_s: Longest wait of a repeat for the running request.
+        runner: Runs calls, regardless of their keys.
+        claim_store: Writes claims.
+        table: The keys that this process remembers.
+        handover: Finds outcomes that other processes stored as they stopped.
+        repeat_wait_s: Maximum seconds that a repeat waits for its request,
+            which is still running.
     """
 
     def __init__(
         self,
         runner: CallRunner,
-        keeper: ClaimKeeper,
-        table: KeyTable[EndedCall],
+        claim_store: ClaimStore,
+        table: KeyTable[CallOutcome],
         handover: AnswerHandover,
         repeat_wait_s: float,
     ) -> None:
         self._runner = runner
-        self._keeper = keeper
+        self._claim_store = claim_store
         self._table = table
         self._handover = handover
         self._repeat_wait_s = repeat_wait_s
-        self._running: dict[KeyHash, _Running] = {}
+        self._running: dict[KeyHash, _RunningCall] = {}
 
     def __len__(self) -> int:
         return len(self._running)
 
     async def drain(self) -> None:
-        """Wait for the calls that run."""
+        """Wait for the running calls."""
         tasks = [running.task for running in self._running.values()]
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def end(self, exchange: Exchange | None, call: KeyedCall) -> KeyedEnd:
-        """Run a call, or give what is known of its key's earlier run."""
-        verdict = self._table.classify(call.hash, call.fingerprint)
-        match verdict:
+    async def run(self, exchange: Exchange | None, call: KeyedCall) -> KeyedOutcome:
+        """Run a call, or return the outcome of its key's earlier run.
+
+        Args:
+            exchange: The exchange with the caller; None if the call was
+                forwarded by another process.
+            call: The call.
+        """
+        decision = self._table.classify(call.hash, call.fingerprint)
+        match decision:
             case KeyDecision.RUN:
                 return await self._begin(exchange, call)
             case KeyDecision.WAIT:
                 return await self._wait_for_running(call)
             case KeyDecision.REPEAT:
-                ended = self._table.get_outcome(call.hash)
-                assert ended is not None
-                return KeyedEnd(ended)
+                outcome = self._table.get_outcome(call.hash)
+                assert outcome is not None
+                return KeyedOutcome(outcome)
             case KeyDecision.UNKNOWN if call.slot is not None:
-                return await self._find_left(call, call.slot)
+                return await self._find_handed_over(call, call.slot)
             case _:
-                return refuse_keyed(_FAULTS[verdict])
+                return refuse_keyed(_ERROR_KINDS[decision])
 
-    async def _find_left(self, call: KeyedCall, slot: int) -> KeyedEnd:
-        ended = await self._handover.find(slot, call.hash, call.fingerprint)
-        if ended is None:
+    async def _find_handed_over(self, call: KeyedCall, slot: int) -> KeyedOutcome:
+        outcome = await self._handover.find_outcome(slot, call.hash, call.fingerprint)
+        if outcome is None:
             return refuse_keyed(ErrorKind.KEY_OWNER_GONE)
-        return KeyedEnd(ended)
+        return KeyedOutcome(outcome)
 
-    async def _begin(self, exchange: Exchange | None, call: KeyedCall) -> KeyedEnd:
-        resolved = self._runner.resolve(call.wanted)
+    async def _begin(self, exchange: Exchange | None, call: KeyedCall) -> KeyedOutcome:
+        resolved = self._runner.resolve(call.request)
         if isinstance(resolved, Err):
-            return KeyedEnd(EndedCall(None, resolved.err_value))
-        most_bytes = MOST_KEPT_BYTES if exchange else MOST_FORWARDED_BYTES
-        sink = KeepingSink(exchange, most_bytes)
+            return KeyedOutcome(CallOutcome(None, resolved.err_value))
+        max_bytes = MAX_STORED_BYTES if exchange else MAX_FORWARDED_BYTES
+        sink = RecordingSink(exchange, max_bytes)
         self._table.record_begun(call.hash, call.fingerprint)
-        task = asyncio.create_task(self._carry_out(sink, call, resolved.ok_value))
-        self._running[call.hash] = _Running(sink, task)
+        task = asyncio.create_task(self._execute(sink, call, resolved.ok_value))
+        self._running[call.hash] = _RunningCall(sink, task)
         try:
-            ended = await asyncio.shield(task)
+            outcome = await asyncio.shield(task)
         except asyncio.CancelledError:
-            sink.leave()
+            sink.detach_caller()
             raise
-        unknown = ended.fault and ended.fault.kind is ErrorKind.KEY_OWNER_GONE
+        unknown = outcome.fault and outcome.fault.kind is ErrorKind.KEY_OWNER_GONE
         if unknown and call.slot is not None:
-            return await self._find_left(call, call.slot)
-        return KeyedEnd(ended, sink.passed_on)
+            return await self._find_handed_over(call, call.slot)
+        return KeyedOutcome(outcome, sink.delivery_started)
 
-    async def _wait_for_running(self, call: KeyedCall) -> KeyedEnd:
+    async def _wait_for_running(self, call: KeyedCall) -> KeyedOutcome:
         running = self._running[call.hash]
-        left_s = call.wanted.deadline - asyncio.get_running_loop().time()
+        left_s = call.request.deadline - asyncio.get_running_loop().time()
         wait_s = min(left_s, self._repeat_wait_s)
         done, _ = await asyncio.wait([running.task], timeout=wait_s)
         if not done:
             return refuse_keyed(ErrorKind.KEY_IN_PROGRESS)
-        return KeyedEnd(running.task.result())
+        return KeyedOutcome(running.task.result())
 
-    async def _carry_out(
-        self, sink: KeepingSink, call: KeyedCall, resolved: ResolvedCall
-    ) -> EndedCall:
+    async def _execute(
+        self, sink: RecordingSink, call: KeyedCall, resolved: ResolvedCall
+    ) -> CallOutcome:
         async def claim() -> Fault | None:
             return await self._claim(call)
 
@@ -168,61 +185,67 @@
             result = await self._runner.run(sink, resolved, claim)
             fault = result.err()
         except Exception:
-            # The key must not stay "running" for ever after a fault of this
-            # process: its repeats would wait for nothing.
-            _log.exception("keyed-call-failed", request=call.wanted.id)
+            # After a defect of this process the key must not remain marked as
+            # running, because its repeats would wait in vain.
+            _log.exception("keyed-call-failed", request=call.request.id)
             fault = Fault(ErrorKind.INTERNAL)
         finally:
             del self._running[call.hash]
-        return self._keep(
-            call, EndedCall(sink.answer if fault is None else None, fault)
+        return self._record_outcome(
+            call, CallOutcome(sink.answer if fault is None else None, fault)
         )
 
-    def _keep(self, call: KeyedCall, ended: EndedCall) -> EndedCall:
+    def _record_outcome(self, call: KeyedCall, outcome: CallOutcome) -> CallOutcome:
         now = asyncio.get_running_loop().time()
         if self._table.classify(call.hash, call.fingerprint) is not KeyDecision.WAIT:
-            return ended
-        if ended.fault is None or not _is_not_run(ended.fault):
-            self._table.record_outcome(call.hash, _shorten(ended), now, call.until)
-            return ended
+            return outcome
+        if outcome.fault is None or not _has_not_run(outcome.fault):
+            self._table.record_outcome(
+                call.hash, _drop_large_body(outcome), now, call.remember_until
+            )
+            return outcome
         self._table.release(call.hash)
         if call.slot is not None:
-            self._keeper.forget(call.slot, call.hash)
-        return ended
+            self._claim_store.discard(call.slot, call.hash)
+        return outcome
 
     async def _claim(self, call: KeyedCall) -> Fault | None:
         if call.slot is None:
             return None
         claim = Claim(call.hash, call.fingerprint)
-        settled = await self._keeper.claim(call.slot, claim, call.wanted.deadline)
-        match settled.outcome:
+        result = await self._claim_store.submit(call.slot, claim, call.request.deadline)
+        match result.outcome:
             case ClaimOutcome.WRITTEN:
                 return None
             case ClaimOutcome.REFUSED:
                 return Fault(ErrorKind.STORE_UNAVAILABLE)
             case ClaimOutcome.KNOWN:
-                assert settled.existing is not None
+                assert result.existing is not None
                 now = asyncio.get_running_loop().time()
                 self._table.release(call.hash)
-                self._table.record_remote(call.hash, settled.existing.fingerprint, now)
-                verdict = self._table.classify(call.hash, call.fingerprint)
-                return Fault(_FAULTS[verdict])
+                self._table.record_remote(call.hash, result.existing.fingerprint, now)
+                decision = self._table.classify(call.hash, call.fingerprint)
+                return Fault(_ERROR_KINDS[decision])
 
 
-def refuse_keyed(kind: ErrorKind, detail: str = "") -> KeyedEnd:
-    """Return the end of a call that is not run."""
-    return KeyedEnd(EndedCall(None, Fault(kind, detail)))
+def refuse_keyed(kind: ErrorKind, detail: str = "") -> KeyedOutcome:
+    """Return the error outcome of a keyed call that is not run here."""
+    return KeyedOutcome(CallOutcome(None, Fault(kind, detail)))
 
 
-def _is_not_run(fault: Fault) -> bool:
+def _has_not_run(fault: Fault) -> bool:
     return ERROR_ANSWERS[fault.kind].outcome is Outcome.NOT_RUN
 
 
-def _shorten(ended: EndedCall) -> EndedCall:
-    """Return what is kept of a call: a large answer's end, not its bytes."""
-    answer = ended.answer
+def _drop_large_body(outcome: CallOutcome) -> CallOutcome:
+    """Return the outcome to store.
+
+    Of an answer that is too large to store, only the fact that the call has
+    ended is stored.
+    """
+    answer = outcome.answer
     if answer is None:
-        return ended
-    if answer.body is not None and len(answer.body) <= MOST_KEPT_BYTES:
-        return ended
-    return EndedCall(None, Fault(ErrorKind.ANSWER_EXPIRED))
+        return outcome
+    if answer.body is not None and len(answer.body) <= MAX_STORED_BYTES:
+        return outcome
+    return CallOutcome(None, Fault(ErrorKind.ANSWER_EXPIRED))
--- a/src/zinniaspool/entry/main.py
+++ b/src/zinniaspool/entry/main.py
@@ -32,7 +32,7 @@
 from zinniaspool.entry.answers import refuse_request
 from zinniaspool.entry.callers import CallerInterface
 from zinniaspool.entry.calls import CallRunner
-from zinniaspool.entry.claims import ClaimKeeper
+from zinniaspool.entry.claims import ClaimStore
 from zinniaspool.entry.credentials import Credentials
 from zinniaspool.entry.departures import DepartureWatch
 from zinniaspool.entry.directory import EntryDirectory
@@ -42,10 +42,10 @@
 from zinniaspool.entry.forwarding import CallForwarder
 from zinniaspool.entry.gate import Gate
 from zinniaspool.entry.handover import AnswerHandover
-from zinniaspool.entry.once import OnceCalls, OnceLimits
+from zinniaspool.entry.once import KeyedCallHandler, KeyedCallLimits
 from zinniaspool.entry.relay import FailedAttempt, Relay
 from zinniaspool.entry.services import ServiceIndex
-from zinniaspool.entry.sinks import EndedCall
+from zinniaspool.entry.sinks import CallOutcome
 from zinniaspool.http import HttpServer
 from zinniaspool.node import NodeFrame, run_program
 from zinniaspool.settings import EntrySettings
@@ -81,7 +81,7 @@
         self._directory = EntryDirectory(
             self._frame.members,
             self._duties.list_loads,
-            self._once.make_session,
+            self._once.issue_session,
             domain,
             settings.address_lifetime_s,
         )
@@ -146,19 +146,19 @@
         """
         self._directory.leave()
         await asyncio.sleep(self._settings.address_lifetime_s + _HEARD_S)
-        await self._once.leave()
+        await self._once.hand_over()
         cut = await server.drain(self._settings.drain_s)
         await self._once.drain()
         return cut
 
-    def _make_once(self, runner: CallRunner) -> OnceCalls:
+    def _make_once(self, runner: CallRunner) -> KeyedCallHandler:
         settings, frame = self._settings, self._frame
         own = SlotOwner(frame.node, frame.incarnation, Address(settings.peer_address))
-        table = KeyTable[EndedCall](KeyLimits(retention_s=settings.answer_kept_s))
-        self._keeper = ClaimKeeper(frame.store, own, settings.claim_writes_per_s, table)
-        limits = OnceLimits(session_s=settings.session_s)
+        table = KeyTable[CallOutcome](KeyLimits(retention_s=settings.answer_kept_s))
+        self._keeper = ClaimStore(frame.store, own, settings.claim_writes_per_s, table)
+        limits = KeyedCallLimits(session_s=settings.session_s)
         handover = AnswerHandover(frame.store, f"{frame.node}:{frame.incarnation}")
-        return OnceCalls(
+        return KeyedCallHandler(
             own,
             runner,
             self._keeper,
@@ -217,9 +217,9 @@
 
     async def _handle_message(self, hello: Hello, message: Message) -> Message | None:
         if isinstance(message, ForwardedCall):
-            self._once.take_forwarded(message)
+            self._once.handle_forwarded(message)
         if isinstance(message, ForwardedAnswer):
-            self._forwarder.take_answer(message)
+            self._forwarder.handle_answer(message)
         return None
 
 
--- a/src/zinniaspool/entry/sinks.py
+++ b/src/zinniaspool/entry/sinks.py
@@ -1,4 +1,4 @@
-"""Where an answer goes to."""
+"""Destinations of an answer: a caller, or a record for repeats."""
 
 import contextlib
 from dataclasses import dataclass
@@ -8,49 +8,49 @@
 from zinniaspool.core.ids import RequestId
 from zinniaspool.http import Exchange, Headers, TransportError
 
-__all__ = ["AnswerSink", "EndedCall", "KeepingSink", "KeptAnswer"]
+__all__ = ["AnswerSink", "CallOutcome", "RecordingSink", "StoredAnswer"]
 
-MOST_KEPT_BYTES = 256 * 1024
-"""Bytes of an answer that is kept for a repeat."""
-MOST_FORWARDED_BYTES = 3 * 1024 * 1024
-"""Bytes of a forwarded answer, below the largest frame."""
+MAX_STORED_BYTES = 256 * 1024
+"""Maximum bytes of an answer's body that is stored for repeats."""
+MAX_FORWARDED_BYTES = 3 * 1024 * 1024
+"""Maximum bytes of a forwarded answer's body, below the largest frame."""
 _OVERHEAD_BYTES = 200
-"""Bytes counted for what is kept beside a body; estimated."""
+"""Approximate bytes that storing an outcome takes besides its body."""
 
 
 class AnswerSink(Protocol):
-    """Takes one answer; an exchange with a caller is one."""
+    """Receives one answer, as an exchange with a caller does."""
 
     @property
     def started(self) -> bool:
-        """Whether any part of the answer has left."""
+        """Whether any part of the answer has been sent."""
         ...
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Take a whole answer."""
+        """Receive a whole answer."""
         ...
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Take the head of an answer that comes in parts."""
+        """Receive the head of an answer whose body follows in parts."""
         ...
 
     async def write(self, data: bytes) -> None:
-        """Take one part."""
+        """Receive one part of the body."""
         ...
 
     async def finish(self) -> None:
-        """Take the end of an answer that came in parts."""
+        """Receive the end of an answer whose body came in parts."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
-class KeptAnswer:
-    """A whole answer that repeats of its request are given.
+class StoredAnswer:
+    """A whole answer, with which repeats of its request are answered.
 
     Attributes:
-        status: HTTP status.
-        content_type: Empty where the answer names none.
-        body: All of it, or None where it was too large to keep.
+        status: The HTTP status.
+        content_type: The content type; empty if the answer has none.
+        body: The whole body; None if it was too large to store.
     """
 
     status: int
@@ -58,7 +58,7 @@
     body: bytes | None
 
     async def send(self, sink: AnswerSink, request_id: RequestId) -> None:
-        """Give the answer, which must have been kept, to a caller."""
+        """Send the answer, whose body must have been stored, to a caller."""
         headers = Headers.of(x_request_id=request_id)
         if self.content_type:
             headers.add("content-type", self.content_type)
@@ -67,78 +67,79 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndedCall:
-    """How a request ended: with its answer, or with a fault."""
+class CallOutcome:
+    """The outcome of a request: its answer or a fault."""
 
-    answer: KeptAnswer | None
+    answer: StoredAnswer | None
     fault: Fault | None = None
 
     @property
     def size(self) -> int:
-        """Bytes that keeping it takes."""
+        """Number of bytes that storing the outcome takes."""
         body = self.answer.body if self.answer is not None else None
         return _OVERHEAD_BYTES + len(body or b"")
 
 
-class KeepingSink:
-    """Passes an answer on to its caller and keeps it for repeats.
+class RecordingSink:
+    """Passes an answer on to its caller and records it for repeats.
 
-    The caller may go while the answer comes. The request may not be run
-    again, so its answer is still taken to the end and kept: it is all that a
-    caller who comes back with the same key can be given.
+    The caller may leave while the answer arrives. The request must not run
+    again, so the answer is still received to its end and recorded: nothing
+    else can be sent to a caller that comes back with the same key.
 
     Args:
-        caller: The caller that waits, or None.
-        most_bytes: Largest body that is kept.
+        caller: The exchange with the caller, or None.
+        max_bytes: Maximum bytes of a body that is recorded.
 
     Attributes:
         answer: The answer, once it is whole.
-        passed_on: Whether the caller has been given any of it.
+        delivery_started: Whether any part of the answer has been passed on to
+            the caller.
     """
 
     def __init__(
-        self, caller: Exchange | None, most_bytes: int = MOST_KEPT_BYTES
+        self, caller: Exchange | None, max_bytes: int = MAX_STORED_BYTES
     ) -> None:
-        self.answer: KeptAnswer | None = None
-        self.passed_on = False
+        self.answer: StoredAnswer | None = None
+        self.delivery_started = False
         self._caller = caller
-        self._most_bytes = most_bytes
+        self._most_bytes = max_bytes
         self._status = 0
         self._content_type = ""
         self._body: bytearray | None = bytearray()
 
     @property
     def started(self) -> bool:
-        """Whether any part of the answer has left."""
+        """Whether any part of the answer has been recorded."""
         return self._status != 0
 
-    def leave(self) -> None:
-        """Note that the caller is gone."""
+    def detach_caller(self) -> None:
+        """Pass nothing on any more, because the caller has left."""
         self._caller = None
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Keep a whole answer and pass it on."""
-        self._note_head(status, headers)
-        self._add(body)
+        """Record a whole answer and pass it on."""
+        self._record_head(status, headers)
+        self._record_body(body)
         self.answer = self._make_answer()
         if self._caller is not None:
-            self.passed_on = True
+            self.delivery_started = True
             with contextlib.suppress(TransportError):
                 await self._caller.respond(status, headers, body)
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Begin to keep an answer that comes in parts, and pass it on."""
-        self._note_head(status, headers)
+        """Record the head of an answer and pass it on."""
+        self._record_head(status, headers)
         if self._caller is not None:
-            self.passed_on = True
+            self.delivery_started = True
             try:
                 await self._caller.start(status, headers)
             except TransportError:
                 self._caller = None
 
     async def write(self, data: bytes) -> None:
-        """Keep one part and pass it on."""
-        self._add(data)
+        """Record one part of the body and pass it on."""
+        self._record_body(data)
         if self._caller is not None:
             try:
                 await self._caller.write(data)
@@ -146,7 +147,7 @@
                 self._caller = None
 
     async def finish(self) -> None:
-        """Note that the answer is whole."""
+        """Record that the answer is whole, and end it for the caller."""
         self.answer = self._make_answer()
         if self._caller is not None:
             try:
@@ -154,11 +155,11 @@
             except TransportError:
                 self._caller = None
 
-    def _note_head(self, status: int, headers: Headers) -> None:
+    def _record_head(self, status: int, headers: Headers) -> None:
         self._status = status
         self._content_type = headers.get("content-type") or ""
 
-    def _add(self, data: bytes) -> None:
+    def _record_body(self, data: bytes) -> None:
         if self._body is None:
             return
         if len(self._body) + len(data) > self._most_bytes:
@@ -166,6 +167,6 @@
             return
         self._body += data
 
-    def _make_answer(self) -> KeptAnswer:
+    def _make_answer(self) -> StoredAnswer:
         body = None if self._body is None else bytes(self._body)
-        return KeptAnswer(self._status, self._content_type, body)
+        return StoredAnswer(self._status, self._content_type, body)
--- a/tests/once_nodes.py
+++ b/tests/once_nodes.py
@@ -1,4 +1,4 @@
-"""Entry processes in one loop, with a store and links that can fail."""
+"""Entry processes in one event loop, with a store and links that can fail."""
 
 import asyncio
 import random
@@ -32,15 +32,15 @@
 from zinniaspool.core.requests.claims import SlotOwner
 from zinniaspool.core.requests.keys import KeyLimits, KeyTable
 from zinniaspool.entry.calls import CallRunner
-from zinniaspool.entry.claims import ClaimKeeper
+from zinniaspool.entry.claims import ClaimStore
 from zinniaspool.entry.fleet import FleetView
 from zinniaspool.entry.forwarding import CallForwarder
 from zinniaspool.entry.gate import Gate
 from zinniaspool.entry.handover import AnswerHandover
-from zinniaspool.entry.once import OnceCalls, OnceLimits
+from zinniaspool.entry.once import KeyedCallHandler, KeyedCallLimits
 from zinniaspool.entry.relay import Relay
 from zinniaspool.entry.services import ServiceIndex
-from zinniaspool.entry.sinks import EndedCall
+from zinniaspool.entry.sinks import CallOutcome
 from zinniaspool.http import HttpClient
 from zinniaspool.peers import PeerLinks
 from zinniaspool.store import HttpStore, LeaseId, StoreFault, StoreValue
@@ -53,22 +53,34 @@
 
 
 class FakeStore(HttpStore):
-    """The store in memory; counts calls and fails on request."""
+    """A store in memory that counts calls and fails on request.
+
+    Attributes:
+        state: The values.
+        unavailable: Whether calls fail.
+        lose_answers: Number of further swaps that take effect but whose
+            response is lost.
+        writes: Number of swaps that were called.
+        swap_gate: If set, swaps wait for this event before they take effect.
+        swap_blocked: Set once a swap waits for the gate.
+    """
 
     def __init__(self) -> None:
         super().__init__(HttpClient(), (Address("127.0.0.1:1"),))
         self.state = KeyValueState()
-        self.out = False
+        self.unavailable = False
         self.lose_answers = 0
         self.writes = 0
-        self.held: asyncio.Event | None = None
-        self.holding = asyncio.Event()
+        self.swap_gate: asyncio.Event | None = None
+        self.swap_blocked = asyncio.Event()
 
     async def get(self, key: str) -> Result[StoreValue | None, StoreFault]:
         """See the base class."""
         self.calls += 1
         await asyncio.sleep(0)
-        return Err(StoreFault.UNAVAILABLE) if self.out else Ok(self.state.get(key))
+        return (
+            Err(StoreFault.UNAVAILABLE) if self.unavailable else Ok(self.state.get(key))
+        )
 
     async def swap(
         self, key: str, value: str, expected: Revision, lease: LeaseId | None = None
@@ -76,11 +88,11 @@
         """See the base class."""
         self.calls += 1
         self.writes += 1
-        if self.held is not None:
-            self.holding.set()
-            await self.held.wait()
+        if self.swap_gate is not None:
+            self.swap_blocked.set()
+            await self.swap_gate.wait()
         await asyncio.sleep(0.002)
-        if self.out:
+        if self.unavailable:
             return Err(StoreFault.UNAVAILABLE)
         written = self.state.swap(key, value, expected, lease)
         if self.lose_answers > 0:
@@ -91,13 +103,13 @@
 
 @dataclass
 class Node:
-    """One entry process's part that runs keyed calls."""
+    """The part of an entry process that runs keyed calls."""
 
     name: NodeId
     incarnation: Incarnation
-    once: OnceCalls
+    handler: KeyedCallHandler
     forwarder: CallForwarder
-    keeper: ClaimKeeper
+    claim_store: ClaimStore
     state: MemberState = MemberState.READY
 
 
@@ -114,36 +126,57 @@
 
 @dataclass
 class Cluster:
-    """A store, one plain service, and nodes that come and go."""
+    """A store, one plain service, and nodes that start and end.
+
+    Attributes:
+        upstream: The only upstream of the service.
+        store: The store that all nodes share.
+        nodes: The running nodes by name, which is also their address.
+        unreachable: Names of nodes that receive no messages.
+        start_count: Number of starts, from which incarnations are formed.
+    """
 
     upstream: FakeUpstream
     store: FakeStore = field(default_factory=FakeStore)
     nodes: dict[str, Node] = field(default_factory=dict)
     unreachable: set[str] = field(default_factory=set)
-    starts: int = 0
+    start_count: int = 0
 
     def start(self, name: str, **limits: float) -> Node:
-        """Start a node, or start it anew."""
-        self.starts += 1
+        """Start a node, or restart it as a new incarnation."""
+        self.start_count += 1
         configuration = self._configure()
         index = ServiceIndex(FleetView(2.0), random.Random(0), _DOMAIN)
         index.configure(configuration, 0.0)
         index.share({}, PeerCounts(1, 1, 0), 0.0)
-        own = SlotOwner(NodeId(name), Incarnation(self.starts), Address(name))
-        table = KeyTable[EndedCall](KeyLimits())
-        keeper = ClaimKeeper(self.store, own, 10_000.0, table)
+        local_owner = SlotOwner(
+            NodeId(name), Incarnation(self.start_count), Address(name)
+        )
+        table = KeyTable[CallOutcome](KeyLimits())
+        claim_store = ClaimStore(self.store, local_owner, 10_000.0, table)
         links = _Links(self)
         forwarder = CallForwarder(links, Address(name), self.list_members)
         runner = CallRunner(index, Gate(), Relay(HttpClient()))
-        handover = AnswerHandover(self.store, f"{name}:{self.starts}")
-        times = OnceLimits(**limits)
-        once = OnceCalls(own, runner, keeper, forwarder, links, table, handover, times)
-        node = Node(own.node, own.incarnation, once, forwarder, keeper)
+        handover = AnswerHandover(self.store, f"{name}:{self.start_count}")
+        time_limits = KeyedCallLimits(**limits)
+        handler = KeyedCallHandler(
+            local_owner,
+            runner,
+            claim_store,
+            forwarder,
+            links,
+            table,
+            handover,
+            time_limits,
+        )
+        node = Node(
+            local_owner.node, local_owner.incarnation, handler, forwarder, claim_store
+        )
         self.nodes[name] = node
         return node
 
     def kill(self, name: str) -> None:
-        """End a node; the others know it."""
+        """End a node; it leaves the members that all nodes know."""
         del self.nodes[name]
 
     def list_members(self) -> list[Member]:
@@ -163,14 +196,14 @@
         ]
 
     def deliver(self, address: Address, message: Message) -> bool:
-        """Hand a message to the node at an address."""
+        """Deliver a message to the node at an address, unless unreachable."""
         node = self.nodes.get(address)
         if node is None or address in self.unreachable:
             return False
         if isinstance(message, ForwardedCall):
-            node.once.take_forwarded(message)
+            node.handler.handle_forwarded(message)
         if isinstance(message, ForwardedAnswer):
-            node.forwarder.take_answer(message)
+            node.forwarder.handle_answer(message)
         return True
 
     def _configure(self) -> Configuration:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -21,7 +21,7 @@
 from zinniaspool.core.requests import RetryTerms, Upstream, UpstreamPool, UpstreamReport
 from zinniaspool.entry.answers import answer_fault
 from zinniaspool.entry.relay import Relay, RelayedCall, RelayLimits
-from zinniaspool.entry.sinks import AnswerSink, KeepingSink
+from zinniaspool.entry.sinks import AnswerSink, RecordingSink
 from zinniaspool.http import (
     Exchange,
     Headers,
@@ -240,7 +240,7 @@
     run_in_loop(trial)
 
 
-class _SlowSink(KeepingSink):
+class _SlowSink(RecordingSink):
     """A caller that takes longer for a read than a stream may be silent."""
 
     def __init__(self, read: asyncio.Event) -> None:
@@ -285,7 +285,7 @@
     run_in_loop(trial)
 
 
-class _ClosedSink(KeepingSink):
+class _ClosedSink(RecordingSink):
     """A caller whose connection fails at the first part of the answer."""
 
     async def write(self, data: bytes) -> None:
