--- a/src/zinniaspool/entry/__init__.py
+++ b/src/zinniaspool/entry/__init__.py
@@ -1,1 +1,1 @@
-"""``zinniaspool-entry``: faces callers and upstreams."""
+"""``zinniaspool-entry``: relays requests between callers and upstreams."""
--- a/src/zinniaspool/entry/callers.py
+++ b/src/zinniaspool/entry/callers.py
@@ -1,4 +1,7 @@
-"""The callers' interface: who asks, for what, by when."""
+"""HTTP interface for callers.
+
+It authenticates a request, parses its headers and runs it.
+"""
 
 import asyncio
 import secrets
@@ -11,7 +14,7 @@
 from zinniaspool.core.ids import CustomerId, RequestId
 from zinniaspool.core.requests import parse_timeout, parse_urgency
 from zinniaspool.entry.answers import answer_fault
-from zinniaspool.entry.calls import CallRunner, WantedCall
+from zinniaspool.entry.calls import CallerRequest, CallRunner
 from zinniaspool.entry.credentials import Credentials
 from zinniaspool.entry.directory import EntryDirectory
 from zinniaspool.entry.once import KeyedCallHandler
@@ -20,42 +23,52 @@
 __all__ = ["CallerInterface"]
 
 _log = structlog.get_logger(__name__)
-_ID_BYTES = 12
-"""Random bytes of a request's name: no two share one."""
+_REQUEST_ID_BYTES = 12
+"""Random bytes of a request identifier, enough to make it unique."""
 _ANSWERED = "answered"
-_LEFT = "caller-left"
+_CALLER_LEFT = "caller-left"
 
-_OF_KEYS = {
+_KEY_ERRORS = {
     ErrorKind.KEY_IN_PROGRESS,
     ErrorKind.KEY_OWNER_GONE,
     ErrorKind.ANSWER_EXPIRED,
 }
-"""Refused too, though an earlier request with the key may have run."""
+"""Errors that count as refusals of a request.
+
+The request itself is not run, though an earlier request with its idempotency
+key may have run.
+"""
 
 RefusalObserver = Callable[[RequestId, CustomerId, ErrorKind], None]
 RequestObserver = Callable[[CustomerId | None, str, float], None]
 
 
-def _observe_nothing(customer: CustomerId | None, end: str, seconds: float) -> None:
+def _ignore_request_end(customer: CustomerId | None, end: str, seconds: float) -> None:
     pass
 
 
-def _note_nothing(request: RequestId, customer: CustomerId, kind: ErrorKind) -> None:
+def _ignore_refusal(request: RequestId, customer: CustomerId, kind: ErrorKind) -> None:
     pass
 
 
 class CallerInterface:
-    """Answers callers.
+    """Responds to the requests of callers.
 
     Args:
-        directory: Names entry VMs.
+        directory: Responds with the addresses of entry VMs.
         runner: Runs calls.
-        once: Runs those that may run at most once.
-        credentials: Whose request it is.
-        default_deadline_s: For requests that bring none.
-        observe: Told of each request's customer, end and seconds.
-        note_refusal: Told of each customer's request that was refused. Those
-            that fail upstream are told of by the relay.
+        once: Runs calls that may run at most once.
+        credentials: Customers by credential.
+        default_deadline_s: Seconds until the deadline of a request that
+            states none.
+        on_request_end: Called with the customer of each request, how the
+            request ended and its duration in seconds.
+        on_refusal: Called with each refused request of a customer. Requests
+            that fail at an upstream are reported by the relay instead.
+
+    Attributes:
+        ready: Whether a configuration is in effect, so that requests can be
+            accepted.
     """
 
     def __init__(
@@ -65,11 +78,11 @@
         once: KeyedCallHandler,
         credentials: Credentials,
         default_deadline_s: float,
-        observe: RequestObserver = _observe_nothing,
-        note_refusal: RefusalObserver = _note_nothing,
+        on_request_end: RequestObserver = _ignore_request_end,
+        on_refusal: RefusalObserver = _ignore_refusal,
     ) -> None:
-        self._observe = observe
-        self._note_refusal = note_refusal
+        self._on_request_end = on_request_end
+        self._on_refusal = on_refusal
         self.ready = False
         self._directory = directory
         self._runner = runner
@@ -78,35 +91,39 @@
         self._default_deadline_s = default_deadline_s
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Respond to a request."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        customer = self._recognize(exchange)
-        request = RequestId(secrets.token_hex(_ID_BYTES))
-        end = _LEFT
+        customer = self._authenticate(exchange)
+        request = RequestId(secrets.token_hex(_REQUEST_ID_BYTES))
+        end = _CALLER_LEFT
         try:
             result = await self._answer(exchange, request, customer)
             end = _ANSWERED
             if isinstance(result, Err):
                 end = result.err_value.kind.value
-                self._note_fault(request, customer, result.err_value.kind)
+                self._report_fault(request, customer, result.err_value.kind)
                 await answer_fault(exchange, result.err_value, request)
         finally:
-            self._observe(customer, end, loop.time() - began)
+            self._on_request_end(customer, end, loop.time() - began)
 
-    def _note_fault(
+    def _report_fault(
         self, request: RequestId, customer: CustomerId | None, kind: ErrorKind
     ) -> None:
         _log.info(
             "request-failed", kind=kind.value, request=request, customer=customer or ""
         )
-        refused = kind in _OF_KEYS or ERROR_ANSWERS[kind].outcome is Outcome.NOT_RUN
+        refused = kind in _KEY_ERRORS or ERROR_ANSWERS[kind].outcome is Outcome.NOT_RUN
         if customer is not None and refused:
-            self._note_refusal(request, customer, kind)
-
-    def _recognize(self, exchange: Exchange) -> CustomerId | None:
-        shown = exchange.request.headers.get("authorization")
-        return None if shown is None else self._credentials.find_customer(shown)
+            self._on_refusal(request, customer, kind)
+
+    def _authenticate(self, exchange: Exchange) -> CustomerId | None:
+        authorization = exchange.request.headers.get("authorization")
+        return (
+            None
+            if authorization is None
+            else self._credentials.find_customer(authorization)
+        )
 
     async def _answer(
         self, exchange: Exchange, request_id: RequestId, customer: CustomerId | None
@@ -118,26 +135,26 @@
             return await self._directory.answer(exchange)
         if customer is None:
             return Err(Fault(ErrorKind.BAD_CREDENTIAL))
-        wanted = self._read_call(exchange, request_id, customer)
-        if isinstance(wanted, Err):
-            return wanted
-        return await self._run_call(exchange, wanted.ok_value)
+        caller_request = self._parse_request(exchange, request_id, customer)
+        if isinstance(caller_request, Err):
+            return caller_request
+        return await self._run_request(exchange, caller_request.ok_value)
 
-    def _read_call(
+    def _parse_request(
         self, exchange: Exchange, request_id: RequestId, customer: CustomerId
-    ) -> Result[WantedCall, Fault]:
+    ) -> Result[CallerRequest, Fault]:
         request = exchange.request
         if request.method != "POST":
             return Err(Fault(ErrorKind.UNKNOWN_SERVICE))
-        asked = request.headers.get("request-timeout")
-        timeout = parse_timeout(asked, self._default_deadline_s)
+        timeout_header = request.headers.get("request-timeout")
+        timeout = parse_timeout(timeout_header, self._default_deadline_s)
         if isinstance(timeout, Err):
             return timeout
         urgency = parse_urgency(request.headers.get("priority"))
         if isinstance(urgency, Err):
             return urgency
         return Ok(
-            WantedCall(
+            CallerRequest(
                 request_id,
                 customer,
                 request.path,
@@ -147,15 +164,15 @@
             )
         )
 
-    async def _run_call(
-        self, exchange: Exchange, wanted: WantedCall
+    async def _run_request(
+        self, exchange: Exchange, caller_request: CallerRequest
     ) -> Result[None, Fault]:
-        resolved = self._runner.resolve(wanted)
+        resolved = self._runner.resolve(caller_request)
         if isinstance(resolved, Err):
             return resolved
         key = exchange.request.headers.get("idempotency-key")
         if key is not None:
-            return await self._once.answer(exchange, wanted, key)
+            return await self._once.answer(exchange, caller_request, key)
         if not resolved.ok_value.idempotent:
             return Err(Fault(ErrorKind.KEY_REQUIRED))
         return await self._runner.run(exchange, resolved.ok_value)
--- a/src/zinniaspool/entry/calls.py
+++ b/src/zinniaspool/entry/calls.py
@@ -1,4 +1,4 @@
-"""Callers' requests, once they are understood, and how each is run."""
+"""Parsed requests of callers, and how they are run."""
 
 import hashlib
 from collections.abc import Awaitable, Callable
@@ -9,31 +9,31 @@
 from zinniaspool.core.errors import ErrorKind, Fault
 from zinniaspool.core.ids import CustomerId, RequestId
 from zinniaspool.core.requests import RetryTerms, hash_prefix
-from zinniaspool.entry.gate import Gate
-from zinniaspool.entry.relay import Relay, RelayedCall
-from zinniaspool.entry.services import ServiceIndex, ServiceLine
+from zinniaspool.entry.gate import AdmissionQueues
+from zinniaspool.entry.relay import RelayedCall, RequestRelay
+from zinniaspool.entry.services import ServiceIndex, ServiceState
 from zinniaspool.entry.sinks import AnswerSink
 
-__all__ = ["CallRunner", "ResolvedCall", "WantedCall"]
+__all__ = ["CallRunner", "ResolvedCall", "CallerRequest"]
 
 _SALT_BYTES = 16
-"""Random bytes of a customer's salt."""
+"""Length in bytes of a customer's cache salt."""
 
-Permission = Callable[[], Awaitable[Fault | None]]
-"""Asked when a request could be sent; a fault keeps it from being sent."""
+PreSendCheck = Callable[[], Awaitable[Fault | None]]
+"""Called before a request is sent; if it returns a fault, nothing is sent."""
 
 
 @dataclass(frozen=True, slots=True)
-class WantedCall:
-    """What a caller asks for.
+class CallerRequest:
+    """A caller's request with its parsed headers.
 
     Attributes:
-        id: This process's name for the request.
-        customer: Whose request it is.
-        path: As the caller wrote it.
-        body: As the caller sent it.
-        deadline: Seconds on the loop's clock.
-        urgency: 0 is the most urgent.
+        id: Identifier that this process gave the request.
+        customer: Customer whose request it is.
+        path: Path of the request as the caller sent it.
+        body: Body of the request as the caller sent it.
+        deadline: Deadline in seconds on the event loop's clock.
+        urgency: Urgency of the request; 0 is the most urgent.
     """
 
     id: RequestId
@@ -46,96 +46,111 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolvedCall:
-    """A wanted call and what the rules say about it.
+    """A request and what the rules state about it.
 
     Attributes:
-        wanted: The call.
-        line: The model or service that it names.
-        target: Path at the upstream.
-        idempotent: Whether it may run more than once by the rules.
-        cached: Whether upstreams cache prefixes of it.
+        request: The request.
+        service: Model or plain service that the request names.
+        upstream_path: Path of the request at the upstream.
+        idempotent: Whether the rules allow the request to run more than once.
+        prefix_cached: Whether upstreams cache prefixes of the request.
     """
 
-    wanted: WantedCall
-    line: ServiceLine
-    target: str
+    request: CallerRequest
+    service: ServiceState
+    upstream_path: str
     idempotent: bool
-    cached: bool
+    prefix_cached: bool
 
 
 class CallRunner:
-    """Finds what a call names and runs it.
+    """Finds the model or plain service that a request names, and runs it.
 
     Args:
-        index: The models and services.
-        gate: Lets requests begin.
-        relay: Carries requests.
+        index: Models and plain services.
+        queues: Admits requests.
+        relay: Sends requests to upstreams.
     """
 
-    def __init__(self, index: ServiceIndex, gate: Gate, relay: Relay) -> None:
+    def __init__(
+        self, index: ServiceIndex, queues: AdmissionQueues, relay: RequestRelay
+    ) -> None:
         self._index = index
-        self._gate = gate
+        self._queues = queues
         self._relay = relay
         self._salts: dict[CustomerId, bytes] = {}
 
-    def resolve(self, wanted: WantedCall) -> Result[ResolvedCall, Fault]:
-        """Return what the rules say about a call."""
-        match wanted.path.split("/", 4):
+    def resolve(self, request: CallerRequest) -> Result[ResolvedCall, Fault]:
+        """Return what the rules state about a request."""
+        match request.path.split("/", 4):
             case ["", "v1", "models" | "services" as kind, name, *rest] if name:
-                line = self._index.find(kind, name, wanted.customer)
+                service = self._index.find(kind, name, request.customer)
             case _:
-                line = None
-        if line is None:
+                service = None
+        if service is None:
             return Err(Fault(ErrorKind.UNKNOWN_SERVICE))
         if kind == "models":
-            return Ok(ResolvedCall(wanted, line, "/generate", True, cached=True))
-        below = "/".join(rest)
-        idempotent = not any(map(below.startswith, line.non_idempotent))
-        return Ok(ResolvedCall(wanted, line, f"/{below}", idempotent, cached=False))
+            return Ok(
+                ResolvedCall(request, service, "/generate", True, prefix_cached=True)
+            )
+        service_path = "/".join(rest)
+        idempotent = not any(map(service_path.startswith, service.non_idempotent))
+        return Ok(
+            ResolvedCall(
+                request, service, f"/{service_path}", idempotent, prefix_cached=False
+            )
+        )
 
     async def run(
-        self, sink: AnswerSink, call: ResolvedCall, permit: Permission | None = None
+        self,
+        sink: AnswerSink,
+        call: ResolvedCall,
+        pre_send_check: PreSendCheck | None = None,
     ) -> Result[None, Fault]:
-        """Run a call and give its answer to a sink.
+        """Run a call and give its response to a sink.
 
         Args:
-            sink: Takes the answer.
-            call: What to run.
-            permit: Asked before anything is sent; such a call is never sent
-                again once it may have run.
+            sink: Receives the response.
+            call: Call to run.
+            pre_send_check: Called before anything is sent. A call with such a
+                check is never sent again once it may have run.
         """
-        wanted = call.wanted
-        pool = call.line.find_pool(wanted.customer)
+        request = call.request
+        pool = call.service.find_pool(request.customer)
         if pool is None:
             return Err(Fault(ErrorKind.NO_UPSTREAM))
-        entered = await self._gate.enter(
-            call.line, wanted.customer, wanted.urgency, wanted.deadline
+        ticket = await self._queues.acquire(
+            call.service, request.customer, request.urgency, request.deadline
         )
-        if isinstance(entered, Fault):
-            return Err(entered)
+        if isinstance(ticket, Fault):
+            return Err(ticket)
         answered = False
         try:
-            fault = None if permit is None else await permit()
+            fault = None if pre_send_check is None else await pre_send_check()
             if fault is not None:
                 return Err(fault)
-            relayed = self._make_relayed(call, once=permit is not None)
-            ended = await self._relay.run(sink, relayed, pool)
-            answered = isinstance(ended, Ok)
-            return ended
+            relayed = self._make_relayed_call(
+                call, at_most_once=pre_send_check is not None
+            )
+            result = await self._relay.run(sink, relayed, pool)
+            answered = isinstance(result, Ok)
+            return result
         finally:
-            self._gate.leave(call.line, entered, answered=answered)
+            self._queues.release(call.service, ticket, answered=answered)
 
-    def _make_relayed(self, call: ResolvedCall, *, once: bool) -> RelayedCall:
-        wanted = call.wanted
-        salt = self._get_salt(wanted.customer) if call.cached else b""
+    def _make_relayed_call(
+        self, call: ResolvedCall, *, at_most_once: bool
+    ) -> RelayedCall:
+        request = call.request
+        salt = self._get_salt(request.customer) if call.prefix_cached else b""
         return RelayedCall(
-            wanted.id,
-            wanted.customer,
-            call.target,
-            wanted.body,
-            RetryTerms(call.idempotent and not once, wanted.deadline),
-            wanted.urgency,
-            hash_prefix(salt, wanted.body) if call.cached else None,
+            request.id,
+            request.customer,
+            call.upstream_path,
+            request.body,
+            RetryTerms(call.idempotent and not at_most_once, request.deadline),
+            request.urgency,
+            hash_prefix(salt, request.body) if call.prefix_cached else None,
             salt.hex(),
         )
 
--- a/src/zinniaspool/entry/credentials.py
+++ b/src/zinniaspool/entry/credentials.py
@@ -1,4 +1,4 @@
-"""Whose request it is, by the credential that it brings."""
+"""The callers' credentials, which identify their customers."""
 
 from pathlib import Path
 
@@ -15,21 +15,21 @@
 
 
 class Credentials(CredentialFile[CustomerId]):
-    """The customers by credential.
+    """The customers by credential, read from a file.
 
     Args:
         path: JSON file: ``{"callers": {"CREDENTIAL": "CUSTOMER"}}``.
 
     Raises:
         OSError: The file cannot be read.
-        ValueError: The file holds something else.
+        ValueError: The file has other contents.
     """
 
     def __init__(self, path: Path) -> None:
         super().__init__(path, _decode_callers)
 
     def find_customer(self, authorization: str | None) -> CustomerId | None:
-        """Return the customer of an Authorization header, or None."""
+        """Return the customer that an Authorization header names, or None."""
         return self.find(authorization)
 
 
--- a/src/zinniaspool/entry/departures.py
+++ b/src/zinniaspool/entry/departures.py
@@ -1,4 +1,4 @@
-"""Finds out when the process of a leaving plain service has ended."""
+"""Detects that the process of a leaving plain service has ended."""
 
 import asyncio
 
@@ -8,64 +8,67 @@
 from zinniaspool.core.requests import UpstreamPool, UpstreamState
 from zinniaspool.entry.services import ServiceIndex
 
-__all__ = ["DepartureWatch"]
+__all__ = ["DepartureDetector"]
 
 _log = structlog.get_logger(__name__)
-_LOOK_S = 0.25
-"""Seconds of one look at a leaving upstream; chosen, short: what leaves may
-wait for its connections to end."""
+_CHECK_S = 0.25
+"""Seconds that one check of a leaving upstream takes.
 
+The time is short, since a leaving process may wait for its connections to end.
+"""
 
-class DepartureWatch:
-    """Takes an upstream back once another process may be at its address.
 
-    What leaves is sent nothing, so nothing is heard from it either: a plain
-    service that is replaced at its own address would stay out for ever. A
-    refused connection shows that the process which said so listens no more,
-    and whatever listens there later is another one. No request is sent to
-    find out.
+class DepartureDetector:
+    """Readmits an upstream once another process may be at its address.
 
-    A process may be replaced between two moments of looking, so a connection
-    is held meanwhile: it ends when nobody listens yet, and the one that is
-    tried at once is refused. That it ends shows nothing by itself: servers
-    end idle connections.
+    A leaving upstream is sent no requests, so no response shows that it is
+    back: a plain service that is replaced at its own address would stay
+    excluded forever. A refused connection shows that the process that
+    announced its leaving no longer listens, and that any process that listens
+    there later is another one. The detector sends no request to find out.
+
+    A process may be replaced between two checks, so each check holds a
+    connection open. The connection ends when the process ends. Its successor
+    does not listen yet at that moment, so a second connection that is tried
+    at once is refused. The end of a connection shows nothing by itself, since
+    servers close idle connections.
 
     Args:
-        index: The models and services.
+        index: Models and plain services.
     """
 
     def __init__(self, index: ServiceIndex) -> None:
         self._index = index
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check the leaving upstreams until cancelled."""
         while True:
-            looks = [
-                self._look(pool, state)
-                for line in self._index.lines()
-                for pool in line.pools.values()
+            checks = [
+                self._check(pool, state)
+                for service in self._index.list_services()
+                for pool in service.pools.values()
                 for state in pool.list_leaving()
             ]
-            await asyncio.gather(asyncio.sleep(_LOOK_S), *looks)
+            await asyncio.gather(asyncio.sleep(_CHECK_S), *checks)
 
-    async def _look(self, pool: UpstreamPool, state: UpstreamState) -> None:
+    async def _check(self, pool: UpstreamPool, state: UpstreamState) -> None:
         address = state.upstream.address
-        ends = asyncio.get_running_loop().time() + _LOOK_S
-        refused = await _hold_connection(address, ends)
-        if refused or await _hold_connection(address, ends):
+        ends_at = asyncio.get_running_loop().time() + _CHECK_S
+        refused = await _probe_connection(address, ends_at)
+        if refused or await _probe_connection(address, ends_at):
             pool.mark_ended(state, asyncio.get_running_loop().time())
             _log.info("upstream-ended", address=address)
 
 
-async def _hold_connection(address: Address, ends: float) -> bool:
-    """Hold a connection until a time, or until its other side ends it.
+async def _probe_connection(address: Address, ends_at: float) -> bool:
+    """Hold a connection open until a time, or until the peer closes it.
 
     Returns:
         Whether the connection was refused.
     """
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout_at(ends):
+        async with asyncio.timeout_at(ends_at):
             reader, writer = await asyncio.open_connection(host, int(port))
             try:
                 await reader.read(1)
@@ -74,7 +77,8 @@
     except ConnectionRefusedError:
         return True
     except TimeoutError:
-        # It was held for the whole look, or nobody answered.
+        # The connection was held for the whole check, or the connection
+        # attempt got no response.
         return False
     except OSError as error:
         _log.debug("upstream-look-failed", address=address, reason=str(error))
--- a/src/zinniaspool/entry/directory.py
+++ b/src/zinniaspool/entry/directory.py
@@ -1,4 +1,4 @@
-"""Answers callers which entry VMs to use."""
+"""Directory of the entry VMs that callers should use."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 __all__ = ["EntryDirectory"]
 
-_JSON = Headers.of(content_type="application/json")
+_JSON_HEADERS = Headers.of(content_type="application/json")
 
 
 class _EntryAddress(msgspec.Struct):
@@ -31,14 +31,14 @@
 
 
 class EntryDirectory:
-    """Names entry VMs to callers.
+    """Responds with the addresses of entry VMs.
 
     Args:
-        list_members: The processes known.
-        list_loads: Requests that each entry VM carries.
+        list_members: Returns the known processes.
+        list_loads: Returns the number of requests in each entry process.
         make_session: Makes sessions for callers' idempotency keys.
-        own_domain: The failure domain of this process.
-        lifetime_s: How long callers may keep an answer.
+        local_domain: Failure domain of this process.
+        lifetime_s: Seconds for which callers may cache a response.
     """
 
     def __init__(
@@ -46,27 +46,33 @@
         list_members: Callable[[], list[Member]],
         list_loads: Callable[[], Mapping[NodeId, float]],
         make_session: Callable[[], str],
-        own_domain: FailureDomainId,
+        local_domain: FailureDomainId,
         lifetime_s: float,
     ) -> None:
         self._list_members = list_members
         self._list_loads = list_loads
         self._make_session = make_session
-        self._own_domain = own_domain
+        self._local_domain = local_domain
         self._lifetime_s = lifetime_s
-        self._source = random.Random()
+        self._rng = random.Random()
         self._leaving = asyncio.Event()
 
-    def leave(self) -> None:
-        """Note that this process leaves."""
+    def mark_leaving(self) -> None:
+        """Record that this process is leaving."""
         self._leaving.set()
 
     async def answer(self, exchange: Exchange) -> Result[None, Fault]:
-        """Answer ``GET /v1/entries``, with ``?near=FAILURE_DOMAIN`` or not."""
+        """Respond to ``GET /v1/entries``, with an optional failure domain.
+
+        The query ``?near=FAILURE_DOMAIN`` names the preferred failure domain;
+        the default is that of this process.
+        """
         query = parse_qs(urlsplit(exchange.request.target).query)
-        near = FailureDomainId(query.get("near", [self._own_domain])[0])
+        preferred_domain = FailureDomainId(query.get("near", [self._local_domain])[0])
         members = self._list_members()
-        chosen = choose_entries(members, self._list_loads(), near, self._source)
+        chosen = choose_entries(
+            members, self._list_loads(), preferred_domain, self._rng
+        )
         if not chosen:
             leaving = self._leaving.is_set()
             return Err(Fault(ErrorKind.LEAVING if leaving else ErrorKind.NOT_READY))
@@ -74,9 +80,9 @@
             _EntryAddress(member.caller_address, member.failure_domain)
             for member in chosen
         ]
-        # A leaving process makes no more sessions: their keys would die with
-        # it, and the callers' repeats would be told "outcome unknown".
+        # A leaving process makes no more sessions. Their keys would be lost
+        # when it ends, and retries would get the error "outcome unknown".
         session = "" if self._leaving.is_set() else self._make_session()
         body = msgspec.json.encode(_Entries(entries, self._lifetime_s, session))
-        await exchange.respond(200, _JSON, body)
+        await exchange.respond(200, _JSON_HEADERS, body)
         return Ok(None)
--- a/src/zinniaspool/entry/dump.py
+++ b/src/zinniaspool/entry/dump.py
@@ -1,31 +1,32 @@
-"""The requests' part of the state dump."""
+"""The section of the state dump about requests."""
 
 import asyncio
 from dataclasses import dataclass
 
 from zinniaspool.core.ids import CustomerId, UpstreamId
 from zinniaspool.core.requests import CustomerQueueState, UpstreamState
-from zinniaspool.entry.gate import Gate
+from zinniaspool.entry.gate import AdmissionQueues
 from zinniaspool.entry.once import KeyedCallHandler, KeyedCallState
-from zinniaspool.entry.services import ServiceIndex, ServiceLine
+from zinniaspool.entry.services import ServiceIndex, ServiceState
 
 __all__ = ["RequestsState", "dump_requests"]
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamDump:
-    """One upstream as this process sees it.
+    """One upstream as known to this process.
 
     Attributes:
-        id: Which.
-        own: This process's requests there.
-        others: Others' requests that are thought to be there.
-        slots: Requests that it runs at a time.
-        slowness: Its latency as a multiple of the median one.
-        leaving: Whether it gets nothing more.
-        ejected_for_s: Time until it is tried again; 0 when not ejected.
-        fresh_for_s: Time until its group's reports are too old; None for a
-            plain service.
+        id: Identifier of the upstream.
+        own: Requests of this process at the upstream.
+        others: Estimated requests of other processes at the upstream.
+        slots: Number of requests that the upstream runs at a time.
+        slowness: Latency of the upstream as a multiple of the median latency.
+        leaving: Whether the upstream is leaving and gets no more requests.
+        ejected_for_s: Seconds until a request may probe the upstream; 0 if
+            the upstream is not ejected.
+        fresh_for_s: Seconds until the reports about the group are too old;
+            None for a plain service.
     """
 
     id: UpstreamId
@@ -40,7 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceDump:
-    """One model or plain service."""
+    """One model or plain service.
+
+    Attributes:
+        name: ``models/NAME`` or ``services/NAME``.
+        capacity: Number of requests that all upstreams together run at a time.
+        customers: State of each customer's requests.
+        upstreams: Upstreams of the model or plain service.
+    """
 
     name: str
     capacity: int
@@ -50,13 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestsState:
-    """All that decides about requests here.
+    """All state by which this process decides about requests.
 
     Attributes:
-        in_progress: Requests that have begun.
-        brownout: How many steps of less urgent requests are shed.
+        in_progress: Number of admitted requests that have not ended.
+        brownout: Number of steps of less urgent requests that are shed.
         services: Models and plain services.
-        keys: Keyed calls.
+        keys: State of the calls with an idempotency key.
     """
 
     in_progress: int
@@ -66,25 +74,27 @@
 
 
 def dump_requests(
-    index: ServiceIndex, gate: Gate, once: KeyedCallHandler
+    index: ServiceIndex, queues: AdmissionQueues, once: KeyedCallHandler
 ) -> RequestsState:
-    """Return the state of the requests now."""
+    """Return the current state of the requests."""
     now = asyncio.get_running_loop().time()
     return RequestsState(
-        gate.in_progress,
-        gate.brownout.level,
-        [_dump_service(line, now) for line in index.lines()],
+        queues.in_progress,
+        queues.brownout.level,
+        [_dump_service(service, now) for service in index.list_services()],
         once.describe(),
     )
 
 
-def _dump_service(line: ServiceLine, now: float) -> ServiceDump:
+def _dump_service(service: ServiceState, now: float) -> ServiceDump:
     upstreams = [
         _dump_upstream(state, now)
-        for pool in line.pools.values()
+        for pool in service.pools.values()
         for state in pool.list_states()
     ]
-    return ServiceDump(line.name, line.capacity, line.admission.describe(), upstreams)
+    return ServiceDump(
+        service.name, service.capacity, service.admission.describe(), upstreams
+    )
 
 
 def _dump_upstream(state: UpstreamState, now: float) -> UpstreamDump:
--- a/src/zinniaspool/entry/duties.py
+++ b/src/zinniaspool/entry/duties.py
@@ -1,4 +1,4 @@
-"""What an entry process does all the time beside answering callers."""
+"""Periodic background tasks of an entry process."""
 
 import asyncio
 from collections.abc import Mapping
@@ -14,130 +14,136 @@
     decode_digest,
     encode_digest,
 )
-from zinniaspool.entry.gate import Gate
+from zinniaspool.entry.gate import AdmissionQueues
 from zinniaspool.entry.services import ServiceIndex
 from zinniaspool.node import NodeFrame
 
-__all__ = ["EntryDuties"]
+__all__ = ["EntryBackgroundTasks"]
 
 _log = structlog.get_logger(__name__)
-_STEP_S = 0.1
-"""Seconds between looks at what is due."""
-_SHARE_EVERY_S = 0.2
-"""Seconds between new shares of the limits; chosen."""
-_DIGEST_EVERY_S = 0.5
-"""Seconds between digests of demand to peers; chosen."""
-_SPEED_EVERY_S = 1.0
-"""Seconds between comparisons of upstreams' speeds."""
-_DIGEST_KEPT_S = 5.0
-"""Seconds that a digest counts: ten of them may be lost."""
-_MS = 1000
-"""Milliseconds in a second."""
-
-
-class EntryDuties:
-    """Follows groups, shares limits with peers, and watches itself.
+_PASS_INTERVAL_S = 0.1
+"""Seconds between passes that check which tasks are due."""
+_SHARE_INTERVAL_S = 0.2
+"""Seconds between updates of the customers' local shares."""
+_DIGEST_INTERVAL_S = 0.5
+"""Seconds between publications of the demand digest to peers."""
+_SLOWNESS_INTERVAL_S = 1.0
+"""Seconds between updates of the upstreams' slowness."""
+_DIGEST_LIFETIME_S = 5.0
+"""Seconds that a digest is valid; ten successive digests may be lost."""
+_MS_PER_S = 1000
+"""Milliseconds per second."""
+
+
+class EntryBackgroundTasks:
+    """Follows groups, shares limits with peers and updates the brownout level.
 
     Args:
-        frame: The process.
-        index: The models and services.
-        gate: Lets requests begin.
+        frame: Parts that every process has: membership, gossip and others.
+        index: Models and plain services.
+        queues: Admits requests.
     """
 
-    def __init__(self, frame: NodeFrame, index: ServiceIndex, gate: Gate) -> None:
+    def __init__(
+        self, frame: NodeFrame, index: ServiceIndex, queues: AdmissionQueues
+    ) -> None:
         self._frame = frame
         self._index = index
-        self._gate = gate
-        self._book = DigestTable(frame.node)
-        self._loads: dict[NodeId, float] = {}
-        self._lost_since: dict[NodeId, float] = {}
-        self._version = 0
-        self._began = 0.0
+        self._queues = queues
+        self._digests = DigestTable(frame.node)
+        self._remote_loads: dict[NodeId, float] = {}
+        self._unresponsive_since: dict[NodeId, float] = {}
+        self._digest_version = 0
+        self._started_at = 0.0
         self._fleet_changed = True
-        self._level = 0
+        self._logged_brownout_level = 0
 
     def start(self) -> None:
-        """Begin to listen to the other entry processes."""
-        self._began = asyncio.get_running_loop().time()
-        self._frame.board.subscribe(Topic.LIMITS, self._take_digest)
+        """Subscribe to the digests of the other entry processes."""
+        self._started_at = asyncio.get_running_loop().time()
+        self._frame.board.subscribe(Topic.LIMITS, self._on_digest)
 
-    def note_fleet(self) -> None:
-        """Note that what is known of the groups has changed."""
+    def mark_fleet_changed(self) -> None:
+        """Make the next pass synchronize the models' upstreams."""
         self._fleet_changed = True
 
     def list_loads(self) -> Mapping[NodeId, float]:
-        """Return the requests that each entry process carries."""
-        return {**self._loads, self._frame.node: float(self._gate.in_progress)}
+        """Return the number of requests in each entry process."""
+        return {**self._remote_loads, self._frame.node: float(self._queues.in_progress)}
 
     async def run(self) -> None:
-        """Do what is due until cancelled."""
+        """Run the tasks that are due until cancelled."""
         loop = asyncio.get_running_loop()
-        shared = said = compared = float("-inf")
+        shares_updated = published = slowness_updated = float("-inf")
         while True:
-            due = loop.time() + _STEP_S
-            await asyncio.sleep(_STEP_S)
+            due = loop.time() + _PASS_INTERVAL_S
+            await asyncio.sleep(_PASS_INTERVAL_S)
             now = loop.time()
-            self._watch_self(now - due)
+            self._update_brownout(now - due)
             if self._fleet_changed:
                 self._fleet_changed = False
-                self._index.sync(now)
-            if now - shared >= _SHARE_EVERY_S:
-                shared = now
-                self.share(now)
-            if now - said >= _DIGEST_EVERY_S:
-                said = now
+                self._index.sync_groups(now)
+            if now - shares_updated >= _SHARE_INTERVAL_S:
+                shares_updated = now
+                self.update_shares(now)
+            if now - published >= _DIGEST_INTERVAL_S:
+                published = now
                 self._publish_digest()
-            if now - compared >= _SPEED_EVERY_S:
-                compared = now
-                self._index.step(now)
+            if now - slowness_updated >= _SLOWNESS_INTERVAL_S:
+                slowness_updated = now
+                self._index.update_slowness(now)
 
-    def share(self, now: float) -> None:
-        """Work the limits out anew from the digests."""
+    def update_shares(self, now: float) -> None:
+        """Recompute the local limits from the digests."""
         alive = []
         for member in self._frame.members():
             if member.role is not Role.ENTRY:
                 continue
             if member.state is MemberState.UNRESPONSIVE:
-                self._lost_since.setdefault(member.node, now)
+                self._unresponsive_since.setdefault(member.node, now)
                 continue
-            self._lost_since.pop(member.node, None)
+            self._unresponsive_since.pop(member.node, None)
             if member.state is not MemberState.STARTING:
                 alive.append(member.node)
-        peers = self._book.describe_peers(alive, self._lost_since, now)
-        elsewhere = self._book.sum_demands(now)
-        self._gate.admit(self._index.share(elsewhere, peers, now))
+        peers = self._digests.describe_peers(alive, self._unresponsive_since, now)
+        remote_demands = self._digests.sum_demands(now)
+        self._queues.wake_admitted(
+            self._index.update_shares(remote_demands, peers, now)
+        )
 
-    def _watch_self(self, lag_s: float) -> None:
-        brownout = self._gate.brownout
-        brownout.update(max(0.0, lag_s), self._gate.in_progress)
-        if brownout.level != self._level:
-            self._level = brownout.level
-            _log.warning("brownout", level=self._level, lag_s=round(lag_s, 3))
+    def _update_brownout(self, lag_s: float) -> None:
+        brownout = self._queues.brownout
+        brownout.update(max(0.0, lag_s), self._queues.in_progress)
+        if brownout.level != self._logged_brownout_level:
+            self._logged_brownout_level = brownout.level
+            _log.warning(
+                "brownout", level=self._logged_brownout_level, lag_s=round(lag_s, 3)
+            )
 
     def _publish_digest(self) -> None:
         services = tuple(
-            ServiceDemand(line.name, demands)
-            for line in self._index.lines()
-            if (demands := line.admission.list_demands())
+            ServiceDemand(service.name, demands)
+            for service in self._index.list_services()
+            if (demands := service.admission.list_demands())
         )
         digest = Digest(self._frame.node, services)
-        # An incarnation is a time of day: adding the time since the start
-        # keeps the versions of this start below those of the next one.
-        passed_s = asyncio.get_running_loop().time() - self._began
-        version = self._frame.incarnation + int(passed_s * _MS)
-        self._version = max(self._version + 1, version)
+        # An incarnation is a time in milliseconds. Adding the time since the
+        # start keeps this incarnation's versions below those of the next one.
+        uptime_s = asyncio.get_running_loop().time() - self._started_at
+        version = self._frame.incarnation + int(uptime_s * _MS_PER_S)
+        self._digest_version = max(self._digest_version + 1, version)
         self._frame.board.publish(
             Topic.LIMITS,
             self._frame.node,
-            self._version,
+            self._digest_version,
             encode_digest(digest),
-            _DIGEST_KEPT_S,
+            _DIGEST_LIFETIME_S,
         )
 
-    def _take_digest(self, notice: Notice) -> None:
+    def _on_digest(self, notice: Notice) -> None:
         digest = decode_digest(notice.payload)
         now = asyncio.get_running_loop().time()
-        self._book.record(digest, now - notice.age_s)
-        self._loads[digest.node] = sum(
+        self._digests.record(digest, now - notice.age_s)
+        self._remote_loads[digest.node] = sum(
             sum(service.customers.values()) for service in digest.services
         )
--- a/src/zinniaspool/entry/fleet.py
+++ b/src/zinniaspool/entry/fleet.py
@@ -1,4 +1,4 @@
-"""What an entry process knows of the fleet's upstreams."""
+"""The replica groups that serve, as known to an entry process."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 from zinniaspool.core.membership import Notice
 from zinniaspool.core.requests import Upstream, UpstreamReport
 
-__all__ = ["FleetView", "ServingUpstream"]
+__all__ = ["ServingUpstream", "ServingUpstreamTable"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,21 +30,25 @@
     """A group that may be sent requests now.
 
     Attributes:
-        model: What it runs.
-        customers: Whose requests it may run.
-        fresh: The group as an upstream, and its newest report.
+        model: Model that the group runs.
+        customers: Customers whose requests the group may run.
+        report: The group as an upstream, and its newest report.
     """
 
     model: ModelName
     customers: tuple[CustomerId, ...]
-    fresh: UpstreamReport
+    report: UpstreamReport
 
 
-class FleetView:
-    """Configuration, plans and engine reports, as known here.
+class ServingUpstreamTable:
+    """The groups that serve, by the configuration, plans and heartbeats.
 
     Args:
-        stale_after_s: Age from which an engine report is void.
+        stale_after_s: Age in seconds from which an engine report is ignored.
+
+    Attributes:
+        configuration: Configuration in effect, or None before the first one.
+        evidence: Plans of the fabric domains and newest heartbeats.
     """
 
     def __init__(self, stale_after_s: float) -> None:
@@ -55,44 +59,44 @@
         self._models: Mapping[ModelName, ModelRule] = {}
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a newer configuration."""
+        """Apply a newer configuration."""
         self.configuration = configuration
         self._vms = {vm.id: vm for vm in configuration.inventory.vms}
         self._models = {model.name: model for model in configuration.rules.models}
 
-    def take_notice(self, notice: Notice, now: float) -> None:
-        """Take a domain's plan, or the evidence that its groups are whole."""
+    def apply_notice(self, notice: Notice, now: float) -> None:
+        """Apply a fabric domain's plan, or its heartbeat about its groups."""
         try:
             if notice.key.startswith(PLAN_PREFIX):
                 self.evidence.apply_plan(decode_plan(notice.payload))
             elif notice.key.startswith(BEAT_PREFIX):
-                beat = decode_heartbeat(notice.payload)
-                self.evidence.apply_heartbeat(beat, notice.age_s, now)
+                heartbeat = decode_heartbeat(notice.payload)
+                self.evidence.apply_heartbeat(heartbeat, notice.age_s, now)
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            # Of a version not known here: its groups count as absent.
+            # The notice has an unknown version, so its groups count as absent.
             return
 
     def list_serving(self, now: float) -> Iterator[ServingUpstream]:
-        """Yield the groups whose every VM freshly reports this very group."""
+        """Yield the groups whose VMs have all recently reported this group."""
         for serving in self.evidence.find_serving(now):
             group = serving.group
             rule = self._models.get(group.model)
-            first = self._vms.get(group.vms[0])
-            if rule is None or first is None:
+            head = self._vms.get(group.vms[0])
+            if rule is None or head is None:
                 continue
             upstream = Upstream(
                 UpstreamId(group.id),
-                first.address,
-                first.failure_domain,
+                head.address,
+                head.failure_domain,
                 rule.slots_per_group,
                 group.id,
                 group.epoch,
                 group.version,
             )
-            fresh = UpstreamReport(
+            report = UpstreamReport(
                 upstream,
                 serving.made_at + self._stale_after_s,
                 serving.running + serving.waiting,
                 serving.made_at,
             )
-            yield ServingUpstream(group.model, group.customers, fresh)
+            yield ServingUpstream(group.model, group.customers, report)
--- a/src/zinniaspool/entry/forwarding.py
+++ b/src/zinniaspool/entry/forwarding.py
@@ -7,7 +7,7 @@
 from zinniaspool.core.ids import Address, IdempotencyKey, Incarnation, NodeId
 from zinniaspool.core.membership import Member, MemberState
 from zinniaspool.core.messages import ForwardedAnswer, ForwardedCall
-from zinniaspool.entry.calls import WantedCall
+from zinniaspool.entry.calls import CallerRequest
 from zinniaspool.peers import PeerLinks
 
 __all__ = ["CallForwarder", "Owner"]
@@ -95,7 +95,7 @@
         )
 
     async def forward(
-        self, owner: Owner, request: WantedCall, key: IdempotencyKey
+        self, owner: Owner, request: CallerRequest, key: IdempotencyKey
     ) -> ForwardedAnswer | None:
         """Forward a call to its owner and return the answer.
 
@@ -136,7 +136,7 @@
             awaited.set_result(message)
 
     def _make_message(
-        self, owner: Owner, request: WantedCall, key: IdempotencyKey, left_s: float
+        self, owner: Owner, request: CallerRequest, key: IdempotencyKey, left_s: float
     ) -> ForwardedCall:
         return ForwardedCall(
             request.id,
--- a/src/zinniaspool/entry/gate.py
+++ b/src/zinniaspool/entry/gate.py
@@ -1,4 +1,4 @@
-"""Where requests wait for their admission."""
+"""Queues in which requests wait for their admission."""
 
 import asyncio
 from collections.abc import Iterable
@@ -6,51 +6,56 @@
 from zinniaspool.core.errors import ErrorKind, Fault
 from zinniaspool.core.ids import CustomerId
 from zinniaspool.core.requests import Admission, Brownout, Ticket, TicketState
-from zinniaspool.entry.services import ServiceLine
+from zinniaspool.entry.services import ServiceState
 
-__all__ = ["Gate"]
+__all__ = ["AdmissionQueues"]
 
-_BROWNOUT_RETRY_S = 5
-"""Seconds that a shed caller is asked to wait; chosen."""
+_BROWNOUT_RETRY_AFTER_S = 5
+"""Value in seconds of Retry-After for requests that brownout sheds."""
 
 
-class Gate:
-    """Lets requests begin when their service's admission says so."""
+class AdmissionQueues:
+    """Makes requests wait until the admission of their service admits them.
+
+    Attributes:
+        brownout: Sheds less urgent requests while this process is overloaded.
+        in_progress: Number of admitted requests that have not ended.
+    """
 
     def __init__(self) -> None:
         self.brownout = Brownout()
         self.in_progress = 0
         self._waiting: dict[Ticket, asyncio.Future[None]] = {}
 
-    async def enter(
-        self, line: ServiceLine, customer: CustomerId, urgency: int, deadline: float
+    async def acquire(
+        self, service: ServiceState, customer: CustomerId, urgency: int, deadline: float
     ) -> Ticket | Fault:
-        """Return an admitted request's ticket, or why it may not begin."""
-        if not self.brownout.admits(urgency, urgent_service=line.urgent):
-            return Fault(ErrorKind.OVERLOADED, retry_after=_BROWNOUT_RETRY_S)
+        """Wait for admission; return the ticket, or why there is none."""
+        if not self.brownout.admits(urgency, urgent_service=service.urgent):
+            return Fault(ErrorKind.OVERLOADED, retry_after=_BROWNOUT_RETRY_AFTER_S)
         loop = asyncio.get_running_loop()
-        asked = line.admission.submit(customer, urgency, deadline, loop.time())
-        if isinstance(asked, Fault):
-            return asked
-        if asked.state is TicketState.WAITING:
-            fault = await self._wait(line.admission, asked)
+        ticket = service.admission.submit(customer, urgency, deadline, loop.time())
+        if isinstance(ticket, Fault):
+            return ticket
+        if ticket.state is TicketState.WAITING:
+            fault = await self._wait(service.admission, ticket)
             if fault is not None:
                 return fault
         self.in_progress += 1
-        return asked
+        return ticket
 
-    def leave(self, line: ServiceLine, ticket: Ticket, *, answered: bool) -> None:
-        """Count a request that has ended and let others begin."""
+    def release(self, service: ServiceState, ticket: Ticket, *, answered: bool) -> None:
+        """Record that a request has ended and admit waiting requests."""
         self.in_progress -= 1
         now = asyncio.get_running_loop().time()
-        self.admit(line.admission.end(ticket, now, answered=answered))
+        self.wake_admitted(service.admission.end(ticket, now, answered=answered))
 
-    def admit(self, tickets: Iterable[Ticket]) -> None:
-        """Wake requests whose admission has come."""
+    def wake_admitted(self, tickets: Iterable[Ticket]) -> None:
+        """Wake the requests of tickets that were admitted."""
         for ticket in tickets:
-            waiting = self._waiting.get(ticket)
-            if waiting is not None and not waiting.done():
-                waiting.set_result(None)
+            future = self._waiting.get(ticket)
+            if future is not None and not future.done():
+                future.set_result(None)
 
     async def _wait(self, admission: Admission, ticket: Ticket) -> Fault | None:
         admitted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -63,10 +68,11 @@
                 return None
             return admission.remove_waiting(ticket)
         except asyncio.CancelledError:
-            # The caller went; a place given to it meanwhile must come back.
+            # The caller has disconnected. If its request has been admitted
+            # meanwhile, the slot must be released.
             if ticket.state is TicketState.ADMITTED:
                 now = asyncio.get_running_loop().time()
-                self.admit(admission.end(ticket, now, answered=False))
+                self.wake_admitted(admission.end(ticket, now, answered=False))
             else:
                 admission.remove_waiting(ticket)
             raise
--- a/src/zinniaspool/entry/keyed.py
+++ b/src/zinniaspool/entry/keyed.py
@@ -18,7 +18,7 @@
     KeyHash,
     KeyTable,
 )
-from zinniaspool.entry.calls import CallRunner, ResolvedCall, WantedCall
+from zinniaspool.entry.calls import CallerRequest, CallRunner, ResolvedCall
 from zinniaspool.entry.claims import ClaimStore
 from zinniaspool.entry.handover import AnswerHandover
 from zinniaspool.entry.sinks import (
@@ -61,7 +61,7 @@
         remember_until: Time until which the key is at least remembered.
     """
 
-    request: WantedCall
+    request: CallerRequest
     key: IdempotencyKey
     hash: KeyHash
     fingerprint: Fingerprint
--- a/src/zinniaspool/entry/main.py
+++ b/src/zinniaspool/entry/main.py
@@ -34,16 +34,16 @@
 from zinniaspool.entry.calls import CallRunner
 from zinniaspool.entry.claims import ClaimStore
 from zinniaspool.entry.credentials import Credentials
-from zinniaspool.entry.departures import DepartureWatch
+from zinniaspool.entry.departures import DepartureDetector
 from zinniaspool.entry.directory import EntryDirectory
 from zinniaspool.entry.dump import dump_requests
-from zinniaspool.entry.duties import EntryDuties
-from zinniaspool.entry.fleet import FleetView
+from zinniaspool.entry.duties import EntryBackgroundTasks
+from zinniaspool.entry.fleet import ServingUpstreamTable
 from zinniaspool.entry.forwarding import CallForwarder
-from zinniaspool.entry.gate import Gate
+from zinniaspool.entry.gate import AdmissionQueues
 from zinniaspool.entry.handover import AnswerHandover
 from zinniaspool.entry.once import KeyedCallHandler, KeyedCallLimits
-from zinniaspool.entry.relay import FailedAttempt, Relay
+from zinniaspool.entry.relay import FailedAttempt, RequestRelay
 from zinniaspool.entry.services import ServiceIndex
 from zinniaspool.entry.sinks import CallOutcome
 from zinniaspool.http import HttpServer
@@ -53,36 +53,38 @@
 __all__ = ["EntryProcess", "main"]
 
 _log = structlog.get_logger(__name__)
-_HEARD_S = 1.0
-"""Time in which the others hear that this process leaves."""
+_LEAVE_ANNOUNCEMENT_S = 1.0
+"""Seconds for the other processes to learn that this process is leaving."""
 
 
 class EntryProcess:
-    """Serves callers until it is told to stop, then drains."""
+    """Serves callers until it is requested to stop, then drains."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self._settings = settings
         self._frame = NodeFrame(settings)
-        self._fleet = FleetView(settings.report_stale_s)
+        self._upstreams = ServingUpstreamTable(settings.report_stale_s)
         self._caller_tls = self._frame.access.load_tls(
             "caller_tls", settings.caller_tls
         )
-        domain = FailureDomainId(settings.failure_domain)
-        self._index = ServiceIndex(self._fleet, random.Random(), domain)
-        self._gate = Gate()
+        local_domain = FailureDomainId(settings.failure_domain)
+        self._index = ServiceIndex(self._upstreams, random.Random(), local_domain)
+        self._queues = AdmissionQueues()
         self._refusals = RefusalLimiter()
-        self._duties = EntryDuties(self._frame, self._index, self._gate)
-        relay = Relay(self._frame.http, self._note_failure)
-        runner = CallRunner(self._index, self._gate, relay)
+        self._background_tasks = EntryBackgroundTasks(
+            self._frame, self._index, self._queues
+        )
+        relay = RequestRelay(self._frame.http, self._record_failed_attempt)
+        runner = CallRunner(self._index, self._queues, relay)
         self._forwarder = CallForwarder(
             self._frame.links, Address(settings.peer_address), self._frame.members
         )
         self._once = self._make_once(runner)
         self._directory = EntryDirectory(
             self._frame.members,
-            self._duties.list_loads,
+            self._background_tasks.list_loads,
             self._once.issue_session,
-            domain,
+            local_domain,
             settings.address_lifetime_s,
         )
         self._callers = CallerInterface(
@@ -92,20 +94,20 @@
             self._load_credentials(),
             settings.default_deadline_s,
             self._frame.metrics.observe_request,
-            self._note_refusal,
+            self._record_refusal,
         )
         self._frame.operators.add_section("fleet", self._describe_fleet)
 
         self._frame.operators.add_section(
-            "requests", lambda: dump_requests(self._index, self._gate, self._once)
+            "requests", lambda: dump_requests(self._index, self._queues, self._once)
         )
 
     async def run(self) -> None:
-        """Run until the process is told to stop."""
+        """Run until the process is requested to stop."""
         await self._frame.start(self._handle_message)
-        self._duties.start()
+        self._background_tasks.start()
         for topic in (Topic.PLANS, Topic.GROUPS):
-            self._frame.board.subscribe(topic, self._take_notice)
+            self._frame.board.subscribe(topic, self._on_notice)
         tls = self._caller_tls
         server = HttpServer(
             self._callers.handle,
@@ -123,29 +125,32 @@
             running = [
                 tasks.create_task(self._frame.follow(self._configure)),
                 tasks.create_task(self._once.run()),
-                tasks.create_task(self._duties.run()),
-                tasks.create_task(DepartureWatch(self._index).run()),
+                tasks.create_task(self._background_tasks.run()),
+                tasks.create_task(DepartureDetector(self._index).run()),
             ]
             await self._frame.stopping.wait()
             cut = await self._leave(server)
             for task in running:
                 task.cancel()
-        self._keeper.close()
+        self._claim_store.close()
         _log.info("drained", cut=cut)
         self._frame.close()
 
     def _describe_fleet(self) -> object:
-        return self._fleet.evidence.describe(asyncio.get_running_loop().time())
+        return self._upstreams.evidence.describe(asyncio.get_running_loop().time())
 
     async def _leave(self, server: HttpServer) -> int:
-        """Serve while callers may come, then until the last request ends.
+        """Serve while callers may connect, then until all requests have ended.
+
+        Callers cache the addresses of entry VMs for their lifetime. Closing
+        the port before that would refuse their connections, though another
+        entry VM would have accepted their requests.
 
-        Callers keep an address answer for its lifetime. Closing the port
-        before that would refuse their connections, though another entry VM
-        would have taken their requests.
+        Returns:
+            The number of requests that were cut.
         """
-        self._directory.leave()
-        await asyncio.sleep(self._settings.address_lifetime_s + _HEARD_S)
+        self._directory.mark_leaving()
+        await asyncio.sleep(self._settings.address_lifetime_s + _LEAVE_ANNOUNCEMENT_S)
         await self._once.hand_over()
         cut = await server.drain(self._settings.drain_s)
         await self._once.drain()
@@ -153,15 +158,17 @@
 
     def _make_once(self, runner: CallRunner) -> KeyedCallHandler:
         settings, frame = self._settings, self._frame
-        own = SlotOwner(frame.node, frame.incarnation, Address(settings.peer_address))
+        owner = SlotOwner(frame.node, frame.incarnation, Address(settings.peer_address))
         table = KeyTable[CallOutcome](KeyLimits(retention_s=settings.answer_kept_s))
-        self._keeper = ClaimStore(frame.store, own, settings.claim_writes_per_s, table)
+        self._claim_store = ClaimStore(
+            frame.store, owner, settings.claim_writes_per_s, table
+        )
         limits = KeyedCallLimits(session_s=settings.session_s)
         handover = AnswerHandover(frame.store, f"{frame.node}:{frame.incarnation}")
         return KeyedCallHandler(
-            own,
+            owner,
             runner,
-            self._keeper,
+            self._claim_store,
             self._forwarder,
             frame.links,
             table,
@@ -176,14 +183,14 @@
         )
 
     def _configure(self, configuration: Configuration, revision: Revision) -> None:
-        self._fleet.configure(configuration)
+        self._upstreams.configure(configuration)
         now = asyncio.get_running_loop().time()
         self._index.configure(configuration, now)
-        self._duties.share(now)
+        self._background_tasks.update_shares(now)
         self._callers.ready = True
         self._frame.board.set_state(MemberState.READY)
 
-    def _note_failure(self, failed: FailedAttempt) -> None:
+    def _record_failed_attempt(self, failed: FailedAttempt) -> None:
         self._frame.decide(
             DecisionKind.ATTEMPT_FAILED,
             (
@@ -193,14 +200,14 @@
             ),
             failed.failure.value,
             attempt=str(failed.attempt),
-            again=str(failed.again).lower(),
+            again=str(failed.retried).lower(),
         )
 
-    def _note_refusal(
+    def _record_refusal(
         self, request: RequestId, customer: CustomerId, kind: ErrorKind
     ) -> None:
-        left_out = self._refusals.admit(customer, asyncio.get_running_loop().time())
-        if left_out is None:
+        omitted = self._refusals.admit(customer, asyncio.get_running_loop().time())
+        if omitted is None:
             return
         self._frame.journal.record(
             time.time(),
@@ -208,12 +215,12 @@
             (f"request:{request}", f"customer:{customer}"),
             ERROR_ANSWERS[kind].message,
             error=kind.value,
-            left_out_before=str(left_out),
+            left_out_before=str(omitted),
         )
 
-    def _take_notice(self, notice: Notice) -> None:
-        self._fleet.take_notice(notice, asyncio.get_running_loop().time())
-        self._duties.note_fleet()
+    def _on_notice(self, notice: Notice) -> None:
+        self._upstreams.apply_notice(notice, asyncio.get_running_loop().time())
+        self._background_tasks.mark_fleet_changed()
 
     async def _handle_message(self, hello: Hello, message: Message) -> Message | None:
         if isinstance(message, ForwardedCall):
--- a/src/zinniaspool/entry/once.py
+++ b/src/zinniaspool/entry/once.py
@@ -31,7 +31,7 @@
     encode_session,
     parse_key,
 )
-from zinniaspool.entry.calls import CallRunner, WantedCall
+from zinniaspool.entry.calls import CallerRequest, CallRunner
 from zinniaspool.entry.claims import ClaimStore
 from zinniaspool.entry.forwarding import CallForwarder, Owner
 from zinniaspool.entry.handover import AnswerHandover
@@ -136,7 +136,7 @@
         )
 
     async def answer(
-        self, exchange: Exchange, request: WantedCall, key: str
+        self, exchange: Exchange, request: CallerRequest, key: str
     ) -> Result[None, Fault]:
         """Have a call run by the process that may run it, and answer it.
 
@@ -210,19 +210,21 @@
         local = (self._local_owner.node, self._local_owner.incarnation)
         return (session.node, session.incarnation) == local
 
-    def _make_keyed_call(self, request: WantedCall, key: IdempotencyKey) -> KeyedCall:
+    def _make_keyed_call(
+        self, request: CallerRequest, key: IdempotencyKey
+    ) -> KeyedCall:
         hashed = hash_key(request.customer, key)
         fingerprint = compute_fingerprint(request.path, request.body)
         return KeyedCall(request, key, hashed, fingerprint, find_slot(hashed))
 
     async def _answer_session_key(
-        self, exchange: Exchange | None, request: WantedCall, key: IdempotencyKey
+        self, exchange: Exchange | None, request: CallerRequest, key: IdempotencyKey
     ) -> Result[None, Fault]:
         result = await self._run_session_key(exchange, request, key)
         return await _send_outcome(exchange, request, result)
 
     async def _run_session_key(
-        self, exchange: Exchange | None, request: WantedCall, key: IdempotencyKey
+        self, exchange: Exchange | None, request: CallerRequest, key: IdempotencyKey
     ) -> KeyedOutcome:
         parsed = parse_key(key)
         assert parsed is not None and parsed.session is not None
@@ -303,7 +305,7 @@
     async def _run_forwarded(self, message: ForwardedCall) -> ForwardedAnswer:
         parsed = parse_key(message.key)
         now = asyncio.get_running_loop().time()
-        request = WantedCall(
+        request = CallerRequest(
             message.id,
             message.customer,
             message.path,
@@ -328,12 +330,12 @@
         return _make_forwarded_answer(message, result.outcome)
 
 
-def _is_past_deadline(request: WantedCall) -> bool:
+def _is_past_deadline(request: CallerRequest) -> bool:
     return asyncio.get_running_loop().time() >= request.deadline
 
 
 async def _send_outcome(
-    exchange: Exchange | None, request: WantedCall, result: KeyedOutcome
+    exchange: Exchange | None, request: CallerRequest, result: KeyedOutcome
 ) -> Result[None, Fault]:
     if result.outcome.fault is not None:
         return Err(result.outcome.fault)
--- a/src/zinniaspool/entry/relay.py
+++ b/src/zinniaspool/entry/relay.py
@@ -1,4 +1,8 @@
-"""Sends a request upstream and its answer back."""
+"""Sends a request to an upstream and its response to the caller.
+
+A failed attempt is retried at another upstream if the retry terms of the
+request allow it. An interrupted event stream is resumed at another upstream.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -23,7 +27,7 @@
     UpstreamState,
 )
 from zinniaspool.entry.sinks import AnswerSink
-from zinniaspool.entry.stalls import StallWatch
+from zinniaspool.entry.stalls import StallWatchdog
 from zinniaspool.http import (
     ClientResponse,
     Headers,
@@ -34,18 +38,18 @@
 )
 from zinniaspool.http.sides import CALLER_SIDE, CallerGoneError
 
-__all__ = ["FailedAttempt", "Relay", "RelayLimits", "RelayedCall"]
+__all__ = ["FailedAttempt", "RequestRelay", "RelayLimits", "RelayedCall"]
 
 _log = structlog.get_logger(__name__)
-_PASSED_ON = ("content-type",)
-_NOT_RUN = "x-not-run"
-_SERVER_ERRORS = 500
-"""HTTP statuses from here on are the upstream's failures."""
-_LOAD_LAG_S = 0.25
-"""Seconds by which an engine's load is behind; the engines' figure."""
-_EVENT_STREAM = "text/event-stream"
-
-_FAILURES = {
+_FORWARDED_HEADERS = ("content-type",)
+_NOT_RUN_HEADER = "x-not-run"
+_MIN_SERVER_ERROR_STATUS = 500
+"""Lowest HTTP status that counts as a failure of the upstream."""
+_LOAD_REPORT_LAG_S = 0.25
+"""Seconds by which a load report is out of date, as stated by the engines."""
+_EVENT_STREAM_TYPE = "text/event-stream"
+
+_ATTEMPT_FAILURES = {
     TransportFailure.NOT_SENT: AttemptFailure.NOT_SENT,
     TransportFailure.TIMED_OUT: AttemptFailure.TIMED_OUT,
     TransportFailure.CUT: AttemptFailure.LOST,
@@ -55,60 +59,89 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedCall:
-    """One request on its way upstream.
+    """A request to send to an upstream.
 
     Attributes:
-        id: Checked on the answer, with the attempt's number.
-        customer: Whose request it is.
-        target: Path at the upstream.
-        body: As the caller sent it.
-        terms: Its deadline, and whether it may run more than once.
-        urgency: 0 is the most urgent, for upstreams that honour it.
-        affinity: Hash of its prefix, or None.
-        salt: Keeps the customer's cached prefixes apart from others'.
+        id: Identifier of the request. The response must repeat it, together
+            with the number of the attempt.
+        customer: Customer whose request it is.
+        upstream_path: Path of the request at the upstream.
+        body: Body of the request as the caller sent it.
+        retry_terms: Deadline of the request, and whether it may run more than
+            once.
+        urgency: Urgency for upstreams that honour it; 0 is the most urgent.
+        affinity: Hash of the body's prefix, or None.
+        cache_salt: Separates the cached prefixes of the customer from those
+            of other customers.
     """
 
     id: RequestId
     customer: CustomerId
-    target: str
+    upstream_path: str
     body: bytes
-    terms: RetryTerms
+    retry_terms: RetryTerms
     urgency: int = NORMAL_URGENCY
     affinity: int | None = None
-    salt: str = ""
+    cache_salt: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """One attempt that failed, for the process's journal."""
+    """A failed attempt, for the journal of this process.
+
+    Attributes:
+        request: Identifier of the request.
+        customer: Customer whose request it is.
+        attempt: Number of the attempt.
+        upstream: Upstream of the attempt.
+        failure: How the attempt failed.
+        retried: Whether another attempt is allowed.
+    """
 
     request: RequestId
     customer: CustomerId
     attempt: int
     upstream: UpstreamId
     failure: AttemptFailure
-    again: bool
+    retried: bool
 
 
 @dataclass(frozen=True, slots=True)
 class RelayLimits:
-    """How long an idempotent attempt waits before another is tried.
+    """Timeouts after which an attempt of an idempotent request has failed.
 
     Attributes:
-        head_part: Part of the time left that one attempt may take until its
-            answer begins.
-        least_head_s: What it may take in any case.
-        stall_s: Longest silence of a stream.
+        header_timeout_share: Share of the remaining time that an attempt may
+            take until its response headers arrive.
+        min_header_timeout_s: Minimum timeout in seconds until the response
+            headers arrive.
+        stall_timeout_s: Maximum seconds between two pieces of a stream.
     """
 
-    head_part: float = 0.5
-    least_head_s: float = 2.0
-    stall_s: float = 3.0
+    header_timeout_share: float = 0.5
+    min_header_timeout_s: float = 2.0
+    stall_timeout_s: float = 3.0
 
 
 @dataclass(slots=True)
-class _Run:
-    """One call while it is carried: what its attempts share."""
+class _CallRun:
+    """The state of a call in progress, which its attempts share.
+
+    Attributes:
+        sink: Receives the response.
+        call: The call.
+        pool: Upstreams that may run the call.
+        attempts: Decides whether another attempt is allowed.
+        cursor: Position in the event stream.
+        progress: How much of the response has gone to the sink.
+        status: HTTP status that has gone to the sink.
+        version: Model version of the upstream that began the stream.
+        tried: Upstreams that are not chosen again for this call.
+        upstream_state: State of the current attempt's upstream.
+        attempt_began_at: Time at which the current attempt began.
+        latency_s: Seconds until the response headers of the current attempt
+            arrived, or None before that.
+    """
 
     sink: AnswerSink
     call: RelayedCall
@@ -119,18 +152,18 @@
     status: int = 0
     version: ModelVersion | None = None
     tried: list[UpstreamId] = field(default_factory=list)
-    state: UpstreamState | None = None
-    began: float = 0.0
+    upstream_state: UpstreamState | None = None
+    attempt_began_at: float = 0.0
     latency_s: float | None = None
 
 
-class Relay:
-    """Chooses upstreams and carries requests and answers.
+class RequestRelay:
+    """Chooses upstreams, sends them requests and relays their responses.
 
     Args:
-        http: Connections to upstreams.
-        on_failure: Told of each attempt that failed.
-        limits: How long attempts wait.
+        http: Client that sends the requests to the upstreams.
+        on_failure: Called with each failed attempt.
+        limits: Timeouts of the attempts of idempotent requests.
     """
 
     def __init__(
@@ -147,46 +180,52 @@
     async def run(
         self, sink: AnswerSink, call: RelayedCall, pool: UpstreamPool
     ) -> Result[None, Fault]:
-        """Run a call and answer it, or return why it has no answer.
+        """Run a call and respond to it, or return why there is no response.
 
-        Once part of an answer has gone to ``sink``, an error means that the
-        rest cannot come; the caller's connection must then be cut.
+        Once part of a response has gone to ``sink``, an error means that the
+        rest cannot follow. The caller's connection must then be cut.
         """
         budget = self._budgets.get(call.customer)
         if budget is None:
             budget = self._budgets[call.customer] = RetryBudget()
         budget.deposit()
-        run = _Run(sink, call, pool, Attempts(call.terms, budget))
+        run = _CallRun(sink, call, pool, Attempts(call.retry_terms, budget))
         loop = asyncio.get_running_loop()
-        while (state := self._choose(run, loop.time())) is not None:
+        while (state := self._choose_upstream(run, loop.time())) is not None:
             begun = run.attempts.begin(loop.time())
             if isinstance(begun, Err):
                 return begun
-            failure = await self._count_attempt(run, state)
+            failure = await self._run_attempt(run, state)
             if failure is None:
                 return Ok(None)
             run.tried.append(state.upstream.id)
             fault = run.attempts.evaluate_failure(failure, run.progress, loop.time())
-            self._report_failure(run, state, failure, again=fault is None)
+            self._report_failure(run, state, failure, retried=fault is None)
             if fault is not None:
                 return Err(fault)
         return Err(run.attempts.make_no_upstream_fault(ErrorKind.NO_UPSTREAM))
 
-    def _choose(self, run: _Run, now: float) -> UpstreamState | None:
+    def _choose_upstream(self, run: _CallRun, now: float) -> UpstreamState | None:
         call = run.call
         state = run.pool.choose(
-            now, call.affinity, run.tried, allow_probe=call.terms.idempotent
+            now, call.affinity, run.tried, allow_probe=call.retry_terms.idempotent
         )
         if run.progress is Progress.NOTHING or state is None:
             return state
         if state.upstream.version == run.version:
             return state
-        # The rest of a stream by another version would not fit its beginning.
+        # Output of another model version would not continue the text that the
+        # caller has already received.
         run.tried.append(state.upstream.id)
-        return self._choose(run, now)
+        return self._choose_upstream(run, now)
 
     def _report_failure(
-        self, run: _Run, state: UpstreamState, failure: AttemptFailure, *, again: bool
+        self,
+        run: _CallRun,
+        state: UpstreamState,
+        failure: AttemptFailure,
+        *,
+        retried: bool,
     ) -> None:
         self._on_failure(
             FailedAttempt(
@@ -195,66 +234,74 @@
                 run.attempts.number,
                 state.upstream.id,
                 failure,
-                again,
+                retried,
             )
         )
 
-    async def _count_attempt(
-        self, run: _Run, state: UpstreamState
+    async def _run_attempt(
+        self, run: _CallRun, state: UpstreamState
     ) -> AttemptFailure | None:
         loop = asyncio.get_running_loop()
-        run.began, run.latency_s = loop.time(), None
-        run.state = state
-        run.pool.begin(state, run.began)
-        end = AttemptOutcome.ABANDONED
+        run.attempt_began_at, run.latency_s = loop.time(), None
+        run.upstream_state = state
+        run.pool.begin(state, run.attempt_began_at)
+        outcome = AttemptOutcome.ABANDONED
         try:
-            failure = await self._try_upstream(run, state.upstream)
-            end = self._judge_upstream(run, failure, loop.time())
+            failure = await self._send_attempt(run, state.upstream)
+            outcome = self._classify_outcome(run, failure, loop.time())
             return failure
         finally:
             now = loop.time()
-            stay_s = now - run.began if end is AttemptOutcome.ANSWERED else None
-            run.pool.end(state, now, end, run.latency_s, stay_s)
+            duration_s = (
+                now - run.attempt_began_at
+                if outcome is AttemptOutcome.ANSWERED
+                else None
+            )
+            run.pool.end(state, now, outcome, run.latency_s, duration_s)
 
-    def _judge_upstream(
-        self, run: _Run, failure: AttemptFailure | None, now: float
+    def _classify_outcome(
+        self, run: _CallRun, failure: AttemptFailure | None, now: float
     ) -> AttemptOutcome:
         match failure:
             case None:
                 return AttemptOutcome.ANSWERED
             case AttemptFailure.REFUSED:
                 return AttemptOutcome.REFUSED
-            case AttemptFailure.TIMED_OUT if not run.pool.is_slow(now - run.began):
+            case AttemptFailure.TIMED_OUT if not run.pool.is_slow(
+                now - run.attempt_began_at
+            ):
                 return AttemptOutcome.ABANDONED
             case _:
                 return AttemptOutcome.FAILED
 
-    async def _try_upstream(
-        self, run: _Run, upstream: Upstream
+    async def _send_attempt(
+        self, run: _CallRun, upstream: Upstream
     ) -> AttemptFailure | None:
-        terms = run.call.terms
-        left_s = terms.deadline - asyncio.get_running_loop().time()
-        headers = _make_headers(run, upstream)
-        request = Request("POST", run.call.target, headers, run.call.body)
-        head_s = left_s
+        terms = run.call.retry_terms
+        remaining_s = terms.deadline - asyncio.get_running_loop().time()
+        headers = _make_request_headers(run, upstream)
+        request = Request("POST", run.call.upstream_path, headers, run.call.body)
+        header_timeout_s = remaining_s
         if terms.idempotent:
-            # A frozen upstream takes requests and says nothing: part of the
-            # time is kept for another one.
+            # A frozen upstream accepts requests and never responds, so part of
+            # the time is reserved for an attempt at another upstream.
             limits = self._limits
-            head_s = max(limits.least_head_s, left_s * limits.head_part)
+            header_timeout_s = max(
+                limits.min_header_timeout_s, remaining_s * limits.header_timeout_share
+            )
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(remaining_s):
                 response = await self._http.send(
                     upstream.address,
                     request,
-                    min(head_s, left_s),
+                    min(header_timeout_s, remaining_s),
                     fresh=not terms.idempotent,
                 )
                 try:
-                    return await self._take_answer(run, response)
+                    return await self._relay_response(run, response)
                 except BaseException:
-                    # The caller has gone, or time is over: closing the
-                    # connection is what tells the upstream to stop.
+                    # The caller has disconnected or the deadline has passed.
+                    # Closing the connection makes the upstream stop.
                     response.abort()
                     raise
         except TimeoutError:
@@ -262,38 +309,43 @@
         except CallerGoneError as error:
             raise error.cause from error
         except TransportError as error:
-            return _FAILURES[error.failure]
+            return _ATTEMPT_FAILURES[error.failure]
 
-    def _note_head(self, run: _Run, response: ClientResponse) -> None:
+    def _record_response_head(self, run: _CallRun, response: ClientResponse) -> None:
         now = asyncio.get_running_loop().time()
-        run.latency_s = now - run.began
-        assert run.state is not None
+        run.latency_s = now - run.attempt_began_at
+        assert run.upstream_state is not None
         headers = response.headers
         running = headers.get("x-load-running")
         if running is not None and running.isdecimal():
             waiting = headers.get("x-load-waiting") or "0"
             load = int(running) + (int(waiting) if waiting.isdecimal() else 0)
-            run.pool.record_load(run.state, load, now - _LOAD_LAG_S, now)
+            run.pool.record_load(
+                run.upstream_state, load, now - _LOAD_REPORT_LAG_S, now
+            )
         if headers.get("x-leaving") is not None:
-            run.pool.mark_leaving(run.state, now)
+            run.pool.mark_leaving(run.upstream_state, now)
 
-    async def _take_answer(
-        self, run: _Run, response: ClientResponse
+    async def _relay_response(
+        self, run: _CallRun, response: ClientResponse
     ) -> AttemptFailure | None:
         headers = response.headers
         echoed = (headers.get("x-request-id"), headers.get("x-attempt"))
-        asked = (run.call.id, str(run.attempts.number))
-        self._note_head(run, response)
-        if headers.get(_NOT_RUN) is not None and echoed in (asked, (None, None)):
+        expected = (run.call.id, str(run.attempts.number))
+        self._record_response_head(run, response)
+        if headers.get(_NOT_RUN_HEADER) is not None and echoed in (
+            expected,
+            (None, None),
+        ):
             await response.read()
             return AttemptFailure.REFUSED
-        if echoed != asked:
-            # An answer to another request must reach nobody, and the
-            # connection that brought it is out of step.
+        if echoed != expected:
+            # A response to another request must reach no caller, and the
+            # requests and responses on its connection no longer correspond.
             response.abort()
             _log.error("answer-foreign", request=run.call.id, echoed=echoed[0])
             return AttemptFailure.FOREIGN
-        if response.status >= _SERVER_ERRORS:
+        if response.status >= _MIN_SERVER_ERROR_STATUS:
             await response.read()
             return AttemptFailure.FAILED
         if run.progress is not Progress.NOTHING:
@@ -302,20 +354,23 @@
             body = await response.read()
             with CALLER_SIDE:
                 await run.sink.respond(
-                    response.status, _pass_headers(run, headers), body
+                    response.status, _filter_response_headers(run, headers), body
                 )
             return None
-        assert run.state is not None
-        run.status, run.version = response.status, run.state.upstream.version
-        events = _is_event_stream(response)
-        # Of a stream of events the head alone leaves nothing out: whoever
-        # begins the stream anew completes it. Without this, an upstream lost
-        # before its first token costs the caller the whole answer.
-        run.progress = Progress.RESUMABLE if events else Progress.PARTIAL
+        assert run.upstream_state is not None
+        run.status, run.version = response.status, run.upstream_state.upstream.version
+        is_event_stream = _is_event_stream(response)
+        # After the headers of an event stream, no event is missing yet: an
+        # upstream that begins the stream anew completes it. Otherwise, an
+        # upstream that fails before its first token would cost the caller the
+        # whole response.
+        run.progress = Progress.RESUMABLE if is_event_stream else Progress.PARTIAL
         with CALLER_SIDE:
-            await run.sink.start(response.status, _pass_headers(run, headers))
-        if events:
-            return await self._pass_events(run, response)
+            await run.sink.start(
+                response.status, _filter_response_headers(run, headers)
+            )
+        if is_event_stream:
+            return await self._relay_events(run, response)
         async for data in response.stream():
             with CALLER_SIDE:
                 await run.sink.write(data)
@@ -324,52 +379,56 @@
         return None
 
     async def _resume_stream(
-        self, run: _Run, response: ClientResponse
+        self, run: _CallRun, response: ClientResponse
     ) -> AttemptFailure | None:
         if response.status != run.status or not _is_event_stream(response):
-            # Not the rest of what the caller has begun to read.
+            # The response is not the rest of the stream that the caller reads.
             response.abort()
             run.progress = Progress.PARTIAL
             return AttemptFailure.LOST
         run.cursor.resume()
-        return await self._pass_events(run, response)
+        return await self._relay_events(run, response)
 
-    async def _pass_events(
-        self, run: _Run, response: ClientResponse
+    async def _relay_events(
+        self, run: _CallRun, response: ClientResponse
     ) -> AttemptFailure | None:
-        stalls = run.call.terms.idempotent
-        watch = StallWatch(response, self._limits.stall_s) if stalls else None
+        may_repeat = run.call.retry_terms.idempotent
+        watchdog = (
+            StallWatchdog(response, self._limits.stall_timeout_s)
+            if may_repeat
+            else None
+        )
         try:
-            return await self._pass_watched_events(run, response, watch)
+            return await self._relay_watched_events(run, response, watchdog)
         finally:
-            if watch is not None:
-                watch.cancel()
+            if watchdog is not None:
+                watchdog.cancel()
 
-    async def _pass_watched_events(
-        self, run: _Run, response: ClientResponse, watch: StallWatch | None
+    async def _relay_watched_events(
+        self, run: _CallRun, response: ClientResponse, watchdog: StallWatchdog | None
     ) -> AttemptFailure | None:
         async for data in response.stream():
-            if watch is not None:
-                watch.waiting = False
-            taken = run.cursor.feed(data)
-            if isinstance(taken, Err):
+            if watchdog is not None:
+                watchdog.awaiting_data = False
+            accepted = run.cursor.feed(data)
+            if isinstance(accepted, Err):
                 response.abort()
                 run.progress = Progress.PARTIAL
                 return AttemptFailure.LOST
-            if taken.ok_value:
+            if accepted.ok_value:
                 resumable = run.cursor.resumable
                 run.progress = Progress.RESUMABLE if resumable else Progress.PARTIAL
                 with CALLER_SIDE:
-                    await run.sink.write(taken.ok_value)
-            if watch is not None:
-                watch.touch()
+                    await run.sink.write(accepted.ok_value)
+            if watchdog is not None:
+                watchdog.record_data()
         with CALLER_SIDE:
             await run.sink.write(run.cursor.finish())
             await run.sink.finish()
         return None
 
 
-def _make_headers(run: _Run, upstream: Upstream) -> Headers:
+def _make_request_headers(run: _CallRun, upstream: Upstream) -> Headers:
     headers = Headers.of(
         content_type="application/json",
         x_request_id=run.call.id,
@@ -379,16 +438,16 @@
         headers.add("x-group", upstream.group).add("x-epoch", str(upstream.epoch))
     if run.call.urgency != NORMAL_URGENCY:
         headers.add("priority", f"u={run.call.urgency}")
-    if run.call.salt:
-        headers.add("x-cache-salt", run.call.salt)
+    if run.call.cache_salt:
+        headers.add("x-cache-salt", run.call.cache_salt)
     if run.cursor.resumable:
         headers.add("last-event-id", str(run.cursor.last_id))
     return headers
 
 
-def _pass_headers(run: _Run, headers: Headers) -> Headers:
+def _filter_response_headers(run: _CallRun, headers: Headers) -> Headers:
     passed = Headers.of(x_request_id=run.call.id)
-    for name in _PASSED_ON:
+    for name in _FORWARDED_HEADERS:
         value = headers.get(name)
         if value is not None:
             passed.add(name, value)
@@ -396,4 +455,4 @@
 
 
 def _is_event_stream(response: ClientResponse) -> bool:
-    return (response.headers.get("content-type") or "").startswith(_EVENT_STREAM)
+    return (response.headers.get("content-type") or "").startswith(_EVENT_STREAM_TYPE)
--- a/src/zinniaspool/entry/services.py
+++ b/src/zinniaspool/entry/services.py
@@ -1,4 +1,4 @@
-"""The models and plain services that callers can name, indexed."""
+"""Index of the models and plain services that callers can name."""
 
 import random
 from collections.abc import Iterable, Mapping
@@ -16,9 +16,9 @@
     UpstreamReport,
     compute_local_shares,
 )
-from zinniaspool.entry.fleet import FleetView, ServingUpstream
+from zinniaspool.entry.fleet import ServingUpstream, ServingUpstreamTable
 
-__all__ = ["ServiceIndex", "ServiceKind", "ServiceLine"]
+__all__ = ["ServiceIndex", "ServiceKind", "ServiceState"]
 
 ServiceKind = str
 MODELS: ServiceKind = "models"
@@ -26,18 +26,19 @@
 
 
 @dataclass(slots=True)
-class ServiceLine:
-    """One model or plain service: who may use it, and where it runs.
+class ServiceState:
+    """The state of one model or plain service in this process.
 
     Attributes:
         name: ``models/NAME`` or ``services/NAME``.
-        shares: Its customers' parts.
-        customers: Who may use it.
-        admission: Admits its requests.
+        shares: Customers' shares of the service.
+        customers: Customers that may use the service.
+        admission: Admits the requests for the service.
         non_idempotent: Path prefixes of calls that may run at most once.
-        urgent: Whether its calls go on when this process is short of itself.
-        pools: Its upstreams, by the customers that may use them.
-        routes: The pools of each customer.
+        urgent: Whether calls of the service are still admitted while this
+            process is overloaded and sheds requests.
+        pools: Pools of upstreams, by the customers that may use them.
+        pools_by_customer: Pools that each customer may use.
     """
 
     name: str
@@ -47,81 +48,94 @@
     non_idempotent: tuple[str, ...] = ()
     urgent: bool = False
     pools: dict[tuple[CustomerId, ...], UpstreamPool] = field(default_factory=dict)
-    routes: dict[CustomerId, list[UpstreamPool]] = field(default_factory=dict)
+    pools_by_customer: dict[CustomerId, list[UpstreamPool]] = field(
+        default_factory=dict
+    )
 
     @property
     def capacity(self) -> int:
-        """Requests that all its upstreams run at a time."""
+        """Number of requests that all upstreams together run at a time."""
         return sum(pool.slots for pool in self.pools.values())
 
     def find_pool(self, customer: CustomerId) -> UpstreamPool | None:
-        """Return the pool for a customer's request, or None without one."""
-        pools = self.routes.get(customer, ())
+        """Return the customer's least utilized non-empty pool, or None."""
+        pools = self.pools_by_customer.get(customer, ())
         if len(pools) == 1:
             return pools[0] if len(pools[0]) else None
-        filled = [pool for pool in pools if len(pool)]
-        return min(filled, key=lambda pool: pool.utilization) if filled else None
+        non_empty = [pool for pool in pools if len(pool)]
+        return min(non_empty, key=lambda pool: pool.utilization) if non_empty else None
 
     def set_shares(self, shares: tuple[CustomerShare, ...]) -> None:
-        """Take the customers' parts."""
+        """Replace the customers' shares."""
         self.shares = shares
         self.customers = frozenset(share.customer for share in shares)
 
-    def set_pools(
+    def sync_pools(
         self,
         upstreams: Mapping[tuple[CustomerId, ...], list[UpstreamReport]],
-        make_pool: "_PoolMaker",
+        pool_factory: "_PoolFactory",
         now: float,
     ) -> None:
-        """Take the upstreams that there are now."""
+        """Replace the upstreams of all pools by the current ones.
+
+        Args:
+            upstreams: Current upstreams, by the customers that may use them.
+            pool_factory: Makes the pools of customers that have none yet.
+            now: Current time in seconds.
+        """
         for customers in upstreams:
             if customers not in self.pools:
-                self.pools[customers] = make_pool.make()
+                self.pools[customers] = pool_factory.make()
         for customers, pool in self.pools.items():
             pool.sync(upstreams.get(customers, ()), now)
-        self.routes = {}
+        self.pools_by_customer = {}
         for customers, pool in self.pools.items():
             for customer in customers:
-                self.routes.setdefault(customer, []).append(pool)
+                self.pools_by_customer.setdefault(customer, []).append(pool)
 
 
 @dataclass(frozen=True, slots=True)
-class _PoolMaker:
-    source: random.Random
-    own_domain: FailureDomainId
+class _PoolFactory:
+    """Makes pools that share a random number generator."""
+
+    rng: random.Random
+    local_domain: FailureDomainId
 
     def make(self) -> UpstreamPool:
-        return UpstreamPool(self.source, self.own_domain)
+        return UpstreamPool(self.rng, self.local_domain)
 
 
 class ServiceIndex:
     """All models and plain services, found by name in constant time.
 
     Args:
-        fleet: What is known of the upstreams.
-        source: The random source of the routing.
-        own_domain: The failure domain of this process.
+        upstreams: Groups that serve the models.
+        rng: Random number generator for the choice of upstreams.
+        local_domain: Failure domain of this process.
     """
 
     def __init__(
-        self, fleet: FleetView, source: random.Random, own_domain: FailureDomainId
+        self,
+        upstreams: ServingUpstreamTable,
+        rng: random.Random,
+        local_domain: FailureDomainId,
     ) -> None:
-        self._fleet = fleet
-        self._make_pool = _PoolMaker(source, own_domain)
-        self._lines: dict[str, ServiceLine] = {}
+        self._upstreams = upstreams
+        self._pool_factory = _PoolFactory(rng, local_domain)
+        self._services: dict[str, ServiceState] = {}
 
     def configure(self, configuration: Configuration, now: float) -> None:
-        """Take a newer configuration."""
-        lines = {}
+        """Apply a newer configuration."""
+        services = {}
         for model in configuration.rules.models:
-            line = self._get_line(f"{MODELS}/{model.name}")
-            line.set_shares(_read_shares(model.shares))
-            lines[line.name] = line
+            state = self._get_or_make_service(f"{MODELS}/{model.name}")
+            state.set_shares(_make_customer_shares(model.shares))
+            services[state.name] = state
         for service in configuration.rules.services:
-            line = self._get_line(f"{SERVICES}/{service.name}")
-            line.set_shares(_read_shares(service.shares))
-            line.non_idempotent = service.non_idempotent
-            line.urgent = service.urgent
+            state = self._get_or_make_service(f"{SERVICES}/{service.name}")
+            state.set_shares(_make_customer_shares(service.shares))
+            state.non_idempotent = service.non_idempotent
+            state.urgent = service.urgent
             customers = tuple(sorted(share.customer for share in service.shares))
             upstreams = [
                 UpstreamReport(
@@ -134,69 +148,69 @@
                 )
                 for upstream in service.upstreams
             ]
-            line.set_pools({customers: upstreams}, self._make_pool, now)
-            lines[line.name] = line
-        self._lines = lines
-        self.sync(now)
-
-    def sync(self, now: float) -> None:
-        """Take the groups that serve now."""
-        found: dict[str, list[ServingUpstream]] = {}
-        for serving in self._fleet.list_serving(now):
-            found.setdefault(f"{MODELS}/{serving.model}", []).append(serving)
-        for line in self._lines.values():
-            if line.name.startswith(MODELS):
-                upstreams = _group_by_customers(found.get(line.name, ()))
-                line.set_pools(upstreams, self._make_pool, now)
+            state.sync_pools({customers: upstreams}, self._pool_factory, now)
+            services[state.name] = state
+        self._services = services
+        self.sync_groups(now)
+
+    def sync_groups(self, now: float) -> None:
+        """Replace the upstreams of all models by the groups that serve now."""
+        groups: dict[str, list[ServingUpstream]] = {}
+        for serving in self._upstreams.list_serving(now):
+            groups.setdefault(f"{MODELS}/{serving.model}", []).append(serving)
+        for state in self._services.values():
+            if state.name.startswith(MODELS):
+                upstreams = _group_by_customers(groups.get(state.name, ()))
+                state.sync_pools(upstreams, self._pool_factory, now)
 
     def find(
         self, kind: ServiceKind, name: ServiceName | str, customer: CustomerId
-    ) -> ServiceLine | None:
-        """Return a model or service, if the customer has a share of it."""
-        line = self._lines.get(f"{kind}/{name}")
-        return line if line is not None and customer in line.customers else None
+    ) -> ServiceState | None:
+        """Return a model or service if the customer has a share of it."""
+        state = self._services.get(f"{kind}/{name}")
+        return state if state is not None and customer in state.customers else None
 
-    def lines(self) -> Iterable[ServiceLine]:
+    def list_services(self) -> Iterable[ServiceState]:
         """Return all models and services."""
-        return self._lines.values()
+        return self._services.values()
 
-    def step(self, now: float) -> None:
-        """Compare the upstreams' speeds; about once a second."""
-        for line in self._lines.values():
-            for pool in line.pools.values():
+    def update_slowness(self, now: float) -> None:
+        """Update the slowness of the upstreams; called about once a second."""
+        for state in self._services.values():
+            for pool in state.pools.values():
                 pool.update_slowness(now)
 
-    def share(
+    def update_shares(
         self,
-        elsewhere: Mapping[str, Mapping[CustomerId, float]],
+        remote_demands: Mapping[str, Mapping[CustomerId, float]],
         peers: PeerCounts,
         now: float,
     ) -> list[Ticket]:
-        """Work the shares out anew; return the requests they admit.
+        """Recompute the local shares; return the requests that they admit.
 
         Args:
-            elsewhere: Demands of the other entry processes, by service.
-            peers: Which entry processes there are.
-            now: Seconds.
+            remote_demands: Demands of the other entry processes, by service.
+            peers: Entry processes between which the shares are divided.
+            now: Current time in seconds.
         """
         admitted = []
-        for line in self._lines.values():
+        for state in self._services.values():
             shares = compute_local_shares(
-                line.capacity,
-                line.shares,
-                line.admission.list_demands(),
-                elsewhere.get(line.name, {}),
+                state.capacity,
+                state.shares,
+                state.admission.list_demands(),
+                remote_demands.get(state.name, {}),
                 peers,
             )
-            weights = {share.customer: share.weight for share in line.shares}
-            admitted += line.admission.set_shares(shares, weights, now)
+            weights = {share.customer: share.weight for share in state.shares}
+            admitted += state.admission.set_shares(shares, weights, now)
         return admitted
 
-    def _get_line(self, name: str) -> ServiceLine:
-        return self._lines.get(name) or ServiceLine(name)
+    def _get_or_make_service(self, name: str) -> ServiceState:
+        return self._services.get(name) or ServiceState(name)
 
 
-def _read_shares(shares: tuple[Share, ...]) -> tuple[CustomerShare, ...]:
+def _make_customer_shares(shares: tuple[Share, ...]) -> tuple[CustomerShare, ...]:
     return tuple(
         CustomerShare(share.customer, share.guaranteed, share.weight)
         for share in sorted(shares, key=lambda share: share.customer)
@@ -206,7 +220,7 @@
 def _group_by_customers(
     serving: Iterable[ServingUpstream],
 ) -> dict[tuple[CustomerId, ...], list[UpstreamReport]]:
-    found: dict[tuple[CustomerId, ...], list[UpstreamReport]] = {}
-    for each in serving:
-        found.setdefault(each.customers, []).append(each.fresh)
-    return found
+    reports: dict[tuple[CustomerId, ...], list[UpstreamReport]] = {}
+    for upstream in serving:
+        reports.setdefault(upstream.customers, []).append(upstream.report)
+    return reports
--- a/src/zinniaspool/entry/stalls.py
+++ b/src/zinniaspool/entry/stalls.py
@@ -1,51 +1,60 @@
-"""Streams of which nothing comes any more."""
+"""Detection of response streams that no longer deliver data."""
 
 import asyncio
 
 from zinniaspool.http import ClientResponse
 
-__all__ = ["StallWatch"]
+__all__ = ["StallWatchdog"]
 
 
-class StallWatch:
-    """Ends a stream of which nothing comes any more.
+class StallWatchdog:
+    """Aborts a stream that delivers no data within a timeout.
 
-    A frozen upstream keeps its connection open. Its stream could go on
-    elsewhere, but nothing else would end it before the caller's deadline.
-    One timer a stream, looked at now and then, costs nothing a token.
+    A frozen upstream keeps its connection open. Its stream could be resumed at
+    another upstream, but nothing else would end the stream before the caller's
+    deadline. One timer per stream, which checks the time of the last data only
+    when it fires, adds no cost per token.
 
     Args:
-        response: The stream.
-        stall_s: Longest silence.
+        response: Response whose stream is watched.
+        timeout_s: Maximum seconds without data.
 
     Attributes:
-        waiting: Whether it is the upstream's turn; while a slow caller is
-            written to, its silence means nothing.
+        awaiting_data: Whether the stream waits for the upstream. While data is
+            written to a slow caller, it is False and the timeout does not
+            count.
     """
 
-    __slots__ = ("_last", "_loop", "_response", "_stall_s", "_timer", "waiting")
-
-    def __init__(self, response: ClientResponse, stall_s: float) -> None:
-        self.waiting = True
+    __slots__ = (
+        "_last_data_at",
+        "_loop",
+        "_response",
+        "_timeout_s",
+        "_timer",
+        "awaiting_data",
+    )
+
+    def __init__(self, response: ClientResponse, timeout_s: float) -> None:
+        self.awaiting_data = True
         self._loop = asyncio.get_running_loop()
         self._response = response
-        self._stall_s = stall_s
-        self._last = self._loop.time()
-        self._timer = self._loop.call_later(stall_s, self._look)
+        self._timeout_s = timeout_s
+        self._last_data_at = self._loop.time()
+        self._timer = self._loop.call_later(timeout_s, self._check)
 
-    def touch(self) -> None:
-        """Note that something came and was passed on."""
-        self._last = self._loop.time()
-        self.waiting = True
+    def record_data(self) -> None:
+        """Record that data has arrived and was passed on to the caller."""
+        self._last_data_at = self._loop.time()
+        self.awaiting_data = True
 
     def cancel(self) -> None:
-        """Stop watching."""
+        """Stop the timer."""
         self._timer.cancel()
 
-    def _look(self) -> None:
-        left_s = self._last + self._stall_s - self._loop.time()
-        if left_s <= 0 and self.waiting:
+    def _check(self) -> None:
+        remaining_s = self._last_data_at + self._timeout_s - self._loop.time()
+        if remaining_s <= 0 and self.awaiting_data:
             self._response.abort()
             return
-        wait_s = left_s if left_s > 0 else self._stall_s
-        self._timer = self._loop.call_later(wait_s, self._look)
+        delay_s = remaining_s if remaining_s > 0 else self._timeout_s
+        self._timer = self._loop.call_later(delay_s, self._check)
--- a/tests/once_nodes.py
+++ b/tests/once_nodes.py
@@ -33,12 +33,12 @@
 from zinniaspool.core.requests.keys import KeyLimits, KeyTable
 from zinniaspool.entry.calls import CallRunner
 from zinniaspool.entry.claims import ClaimStore
-from zinniaspool.entry.fleet import FleetView
+from zinniaspool.entry.fleet import ServingUpstreamTable
 from zinniaspool.entry.forwarding import CallForwarder
-from zinniaspool.entry.gate import Gate
+from zinniaspool.entry.gate import AdmissionQueues
 from zinniaspool.entry.handover import AnswerHandover
 from zinniaspool.entry.once import KeyedCallHandler, KeyedCallLimits
-from zinniaspool.entry.relay import Relay
+from zinniaspool.entry.relay import RequestRelay
 from zinniaspool.entry.services import ServiceIndex
 from zinniaspool.entry.sinks import CallOutcome
 from zinniaspool.http import HttpClient
@@ -146,9 +146,9 @@
         """Start a node, or restart it as a new incarnation."""
         self.start_count += 1
         configuration = self._configure()
-        index = ServiceIndex(FleetView(2.0), random.Random(0), _DOMAIN)
+        index = ServiceIndex(ServingUpstreamTable(2.0), random.Random(0), _DOMAIN)
         index.configure(configuration, 0.0)
-        index.share({}, PeerCounts(1, 1, 0), 0.0)
+        index.update_shares({}, PeerCounts(1, 1, 0), 0.0)
         local_owner = SlotOwner(
             NodeId(name), Incarnation(self.start_count), Address(name)
         )
@@ -156,7 +156,7 @@
         claim_store = ClaimStore(self.store, local_owner, 10_000.0, table)
         links = _Links(self)
         forwarder = CallForwarder(links, Address(name), self.list_members)
-        runner = CallRunner(index, Gate(), Relay(HttpClient()))
+        runner = CallRunner(index, AdmissionQueues(), RequestRelay(HttpClient()))
         handover = AnswerHandover(self.store, f"{name}:{self.start_count}")
         time_limits = KeyedCallLimits(**limits)
         handler = KeyedCallHandler(
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -17,7 +17,7 @@
 from zinniaspool.core.ids import RequestId
 from zinniaspool.core.membership import MemberState
 from zinniaspool.core.requests.sessions import Session, encode_session
-from zinniaspool.entry.calls import WantedCall
+from zinniaspool.entry.calls import CallerRequest
 from zinniaspool.http import Exchange, Headers, Request
 
 _BODY = b'{"pitch": 7}'
@@ -59,7 +59,7 @@
         deadline = asyncio.get_running_loop().time() + timeout_s
         request_id = RequestId(f"r{self.call_count}")
         path = "/v1/services/dispatch/send"
-        request = WantedCall(request_id, CUSTOMER, path, body, deadline, 3)
+        request = CallerRequest(request_id, CUSTOMER, path, body, deadline, 3)
         caller = _Caller()
         ended = await node.handler.answer(caller, request, key)
         fault = ended.err()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,8 @@
-"""The relay between real connections: losses, crossed answers, leaving."""
+"""The relay over real connections.
+
+The tests cover failed upstreams, responses to other requests and callers that
+disconnect.
+"""
 
 import asyncio
 import random
@@ -20,7 +24,7 @@
 )
 from zinniaspool.core.requests import RetryTerms, Upstream, UpstreamPool, UpstreamReport
 from zinniaspool.entry.answers import answer_fault
-from zinniaspool.entry.relay import Relay, RelayedCall, RelayLimits
+from zinniaspool.entry.relay import RelayedCall, RelayLimits, RequestRelay
 from zinniaspool.entry.sinks import AnswerSink, RecordingSink
 from zinniaspool.http import (
     Exchange,
@@ -36,8 +40,8 @@
 _WHOLE = _TOKENS + b"event: done\ndata: {}\n\n"
 
 
-class _Entry:
-    """A relay behind a server, as callers meet it."""
+class _RelayServer:
+    """An HTTP server that answers every request by the relay."""
 
     def __init__(
         self,
@@ -47,17 +51,19 @@
     ) -> None:
         self.faults: list[ErrorKind] = []
         domain = FailureDomainId("d")
-        limits = RelayLimits(least_head_s=0.3, head_part=0.0, stall_s=0.3)
-        self._relay = Relay(HttpClient(), limits=limits)
+        limits = RelayLimits(
+            min_header_timeout_s=0.3, header_timeout_share=0.0, stall_timeout_s=0.3
+        )
+        self._relay = RequestRelay(HttpClient(), limits=limits)
         self._pool = UpstreamPool(random.Random(0), domain)
-        said = versions or [ModelVersion("v1")] * len(upstreams)
-        fresh = [
+        upstream_versions = versions or [ModelVersion("v1")] * len(upstreams)
+        reports = [
             UpstreamReport(
                 Upstream(UpstreamId(u.address), u.address, domain, 8, version=version)
             )
-            for u, version in zip(upstreams, said, strict=True)
+            for u, version in zip(upstreams, upstream_versions, strict=True)
         ]
-        self._pool.sync(fresh, 0.0)
+        self._pool.sync(reports, 0.0)
         self._idempotent = idempotent
 
     async def run(self, sink: AnswerSink) -> Result[None, Fault]:
@@ -68,19 +74,19 @@
         return await self._relay.run(sink, call, self._pool)
 
     async def handle(self, exchange: Exchange) -> None:
-        ended = await self.run(exchange)
-        if ended.is_err():
-            self.faults.append(ended.unwrap_err().kind)
-            await answer_fault(exchange, ended.unwrap_err())
+        result = await self.run(exchange)
+        if result.is_err():
+            self.faults.append(result.unwrap_err().kind)
+            await answer_fault(exchange, result.unwrap_err())
 
 
-async def _ask(
+async def _send_request(
     upstreams: list[FakeUpstream], idempotent: bool = True
-) -> tuple[_Entry, int, bytes]:
+) -> tuple[_RelayServer, int, bytes]:
     for upstream in upstreams:
         await upstream.listen()
-    entry = _Entry(upstreams, idempotent)
-    server = HttpServer(entry.handle)
+    relay_server = _RelayServer(upstreams, idempotent)
+    server = HttpServer(relay_server.handle)
     address = await server.listen(Address("127.0.0.1:0"))
     request = Request("POST", "/", Headers(), b"{}")
     try:
@@ -89,7 +95,7 @@
         await server.drain(0.0)
         for upstream in upstreams:
             await upstream.close()
-    return entry, status, body
+    return relay_server, status, body
 
 
 async def _wait_for_first(events: Iterable[asyncio.Event]) -> None:
@@ -101,65 +107,65 @@
 
 @pytest.mark.parametrize("first", [fakes.cut, fakes.cross])
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_a_lost_answer_is_asked_for_again_only_where_that_is_harmless(
+def test_a_request_with_a_lost_response_is_retried_only_if_idempotent(
     first: fakes.Behaviour, idempotent: bool
 ) -> None:
-    """The caller of an idempotent request sees one answer, its own.
+    """The caller of an idempotent request gets the response to its request.
 
-    The upstream runs the request and its answer is lost, or another's comes
-    in its place. A non-idempotent one must end there: nobody can tell
-    whether it ran.
+    The upstream runs the request, and the response is lost or replaced by
+    that to another request. A non-idempotent request must not be retried,
+    since it is unknown whether it ran.
     """
 
     async def trial() -> None:
         behaviours = [first, fakes.answer("own")]
         upstream = FakeUpstream(behaviours)
         other = FakeUpstream(behaviours)
-        entry, status, body = await _ask([upstream, other], idempotent)
+        relay_server, status, body = await _send_request([upstream, other], idempotent)
         runs = len(upstream.calls) + len(other.calls)
         if idempotent:
             assert (runs, status, body) == (2, 200, b'"own"')
         else:
             assert (runs, status) == (1, 502)
-            assert entry.faults == [ErrorKind.UPSTREAM_LOST]
+            assert relay_server.faults == [ErrorKind.UPSTREAM_LOST]
         assert b"rival" not in body
 
     run_in_loop(trial)
 
 
-def test_a_refusal_is_taken_elsewhere_also_where_once_is_promised() -> None:
+def test_a_refused_request_is_retried_also_if_not_idempotent() -> None:
     async def trial() -> None:
         refusing = FakeUpstream([fakes.refuse])
         answering = FakeUpstream([fakes.answer("own")])
-        _, status, body = await _ask([refusing, answering], idempotent=False)
+        _, status, body = await _send_request([refusing, answering], idempotent=False)
         assert (status, body) == (200, b'"own"')
         assert len(answering.calls) == 1
 
     run_in_loop(trial)
 
 
-def test_a_stream_goes_on_at_another_upstream() -> None:
-    """The caller reads one whole stream.
+def test_a_stream_is_resumed_at_another_upstream() -> None:
+    """The caller reads one complete stream.
 
-    Each upstream is lost after two tokens, inside the third; the next is
-    asked to go on after the last whole one.
+    Each upstream fails after two tokens, inside the third. The next upstream
+    is requested to continue after the last complete token.
     """
 
     async def trial() -> None:
         lossy = [fakes.stream(6, lose_after=2)]
         upstreams = [FakeUpstream(lossy), FakeUpstream(lossy), FakeUpstream(lossy)]
-        _, status, body = await _ask(upstreams)
+        _, status, body = await _send_request(upstreams)
         assert (status, body) == (200, _WHOLE)
 
     run_in_loop(trial)
 
 
-def test_a_stream_goes_on_only_with_the_version_that_began_it() -> None:
-    """The caller would read a text by two versions of a model.
+def test_a_stream_is_resumed_only_by_the_version_that_began_it() -> None:
+    """A stream does not mix the output of two versions of a model.
 
     Both upstreams lose the stream after two tokens, and they run different
-    versions. The rest of the other one would not fit the beginning: the
-    stream is cut, and the other upstream is not asked.
+    versions. The other version's output would not continue the text, so the
+    stream is cut and the other upstream gets no request.
     """
 
     async def trial() -> None:
@@ -168,7 +174,7 @@
         for upstream in upstreams:
             await upstream.listen()
         versions = [ModelVersion("v1"), ModelVersion("v2")]
-        server = HttpServer(_Entry(upstreams, True, versions).handle)
+        server = HttpServer(_RelayServer(upstreams, True, versions).handle)
         address = await server.listen(Address("127.0.0.1:0"))
         request = Request("POST", "/", Headers(), b"{}")
         with pytest.raises(TransportError):
@@ -182,39 +188,45 @@
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_a_stream_that_cannot_go_on_is_cut_and_never_ended(idempotent: bool) -> None:
-    """The caller sees a broken connection in place of a short answer.
+def test_a_stream_that_cannot_be_resumed_is_cut_without_a_clean_end(
+    idempotent: bool,
+) -> None:
+    """The caller gets a broken connection instead of a truncated response.
 
-    The only upstream is lost in mid-stream. A clean end would make the part
-    that has come look like the whole.
+    The only upstream fails in mid-stream. A clean end would make the partial
+    response look complete.
     """
 
     async def trial() -> None:
         with pytest.raises(TransportError) as caught:
-            await _ask([FakeUpstream([fakes.stream(6, lose_after=2)])], idempotent)
+            await _send_request(
+                [FakeUpstream([fakes.stream(6, lose_after=2)])], idempotent
+            )
         assert caught.value.failure is TransportFailure.CUT
 
     run_in_loop(trial)
 
 
-@pytest.mark.parametrize("act", [fakes.hang, fakes.stall])
-def test_an_upstream_stops_when_the_caller_goes(act: fakes.Behaviour) -> None:
-    """The engine's work ends at once with the caller's connection.
+@pytest.mark.parametrize("behaviour", [fakes.hang, fakes.stall])
+def test_an_upstream_stops_when_the_caller_disconnects(
+    behaviour: fakes.Behaviour,
+) -> None:
+    """The upstream's work ends as soon as the caller's connection does.
 
-    The caller leaves before or after the first token; the request must go to
-    no other upstream either.
+    The caller disconnects before or after the first token. The request must
+    not be sent to another upstream either.
     """
 
     async def trial() -> None:
-        upstreams = [FakeUpstream([act]), FakeUpstream([act])]
+        upstreams = [FakeUpstream([behaviour]), FakeUpstream([behaviour])]
         for upstream in upstreams:
             await upstream.listen()
-        server = HttpServer(_Entry(upstreams, idempotent=True).handle)
+        server = HttpServer(_RelayServer(upstreams, idempotent=True).handle)
         address = await server.listen(Address("127.0.0.1:0"))
         request = Request("POST", "/", Headers(), b"{}")
-        asking = asyncio.create_task(HttpClient().fetch(address, request, 10.0))
+        fetching = asyncio.create_task(HttpClient().fetch(address, request, 10.0))
         await _wait_for_first(upstream.called for upstream in upstreams)
-        asking.cancel()
+        fetching.cancel()
         await _wait_for_first(upstream.left for upstream in upstreams)
         await server.drain(5.0)
         assert sum(len(upstream.calls) for upstream in upstreams) == 1
@@ -222,18 +234,20 @@
     run_in_loop(trial)
 
 
-@pytest.mark.parametrize("act", [fakes.hang, fakes.stall])
-def test_a_frozen_upstream_is_left_for_another_one(act: fakes.Behaviour) -> None:
-    """The caller reads a whole answer well before its deadline.
+@pytest.mark.parametrize("behaviour", [fakes.hang, fakes.stall])
+def test_a_request_at_a_frozen_upstream_is_retried_at_another(
+    behaviour: fakes.Behaviour,
+) -> None:
+    """The caller reads a complete response well before its deadline.
 
-    The first upstream takes the request and falls silent, before its answer
-    or after one token; its connection stays open.
+    The first upstream accepts the request and stalls before its response or
+    after one token. Its connection stays open.
     """
 
     async def trial() -> None:
-        script = [act, fakes.stream(6)]
+        script = [behaviour, fakes.stream(6)]
         upstreams = [FakeUpstream(script), FakeUpstream(script)]
-        _, status, body = await _ask(upstreams)
+        _, status, body = await _send_request(upstreams)
         assert (status, body) == (200, _WHOLE)
         assert {len(upstream.calls) for upstream in upstreams} == {1}
 
@@ -241,7 +255,7 @@
 
 
 class _SlowSink(RecordingSink):
-    """A caller that takes longer for a read than a stream may be silent."""
+    """A caller whose first read takes longer than the stall timeout."""
 
     def __init__(self, read: asyncio.Event) -> None:
         super().__init__(None)
@@ -254,11 +268,11 @@
         await super().write(data)
 
 
-def test_a_slow_caller_is_not_taken_for_a_silent_upstream() -> None:
-    """The caller reads slowly, and the upstream has to wait for it.
+def test_a_slow_caller_is_not_mistaken_for_a_stalled_upstream() -> None:
+    """A stream is not aborted while the upstream waits for a slow caller.
 
-    The upstream is held back until the caller has read: its silence must
-    not end the stream.
+    The upstream sends no data until the caller has read, for longer than the
+    stall timeout.
     """
 
     async def trial() -> None:
@@ -275,8 +289,8 @@
         for upstream in upstreams:
             await upstream.listen()
         sink = _SlowSink(read)
-        ended = await _Entry(upstreams, idempotent=True).run(sink)
-        assert ended.is_ok() and sink.answer is not None
+        result = await _RelayServer(upstreams, idempotent=True).run(sink)
+        assert result.is_ok() and sink.answer is not None
         assert sink.answer.body == _WHOLE
         assert sum(len(upstream.calls) for upstream in upstreams) == 1
         for upstream in upstreams:
@@ -286,26 +300,26 @@
 
 
 class _ClosedSink(RecordingSink):
-    """A caller whose connection fails at the first part of the answer."""
+    """A caller whose connection fails at the first part of the response."""
 
     async def write(self, data: bytes) -> None:
-        raise TransportError(TransportFailure.CUT, "the caller is gone")
+        raise TransportError(TransportFailure.CUT, "the caller has disconnected")
 
 
-def test_a_caller_that_fails_is_not_taken_for_a_lost_upstream() -> None:
-    """Nothing is sent to another upstream for a caller that has gone.
+def test_a_failed_caller_is_not_mistaken_for_a_failed_upstream() -> None:
+    """No request is sent to another upstream for a disconnected caller.
 
-    Writing to the caller raises just what reading from a lost upstream
-    does, in the middle of a stream that could be resumed.
+    Writing to the caller raises the same error as reading from a failed
+    upstream, in the middle of a stream that could be resumed.
     """
 
     async def trial() -> None:
         upstreams = [FakeUpstream([fakes.stream(6)]) for _ in range(2)]
         for upstream in upstreams:
             await upstream.listen()
-        entry = _Entry(upstreams, idempotent=True)
+        relay_server = _RelayServer(upstreams, idempotent=True)
         with pytest.raises(TransportError):
-            await entry.run(_ClosedSink(None))
+            await relay_server.run(_ClosedSink(None))
         assert sum(len(upstream.calls) for upstream in upstreams) == 1
         for upstream in upstreams:
             await upstream.close()
--- a/tools/try_safeguards.py
+++ b/tools/try_safeguards.py
@@ -94,7 +94,7 @@
         "src/zinniaspool/entry/relay.py",
         "if state.upstream.version == run.version:",
         "if True:",
-        "tests/test_relay.py::test_a_stream_goes_on_only_with_the_version_that_began_it",
+        "tests/test_relay.py::test_a_stream_is_resumed_only_by_the_version_that_began_it",
     ),
     Safeguard(
         "the last look at the lease before an order leaves",
