--- a/src/zinniaspool/cli/configuration.py
+++ b/src/zinniaspool/cli/configuration.py
@@ -129,7 +129,7 @@
 ) -> None:
     """Accept a past revision's configuration anew, as a change of its own."""
     waiting = _plan_wait(wait, node, credential_file, authority_file)
-    past = _run(store, lambda c: c.read_past(Revision(revision)))
+    past = _run(store, lambda c: c.read_revision(Revision(revision)))
     if past is None:
         _fail(f"revision {revision} is not kept; see: zinniaspool history", _UNUSABLE)
     current = _run(store, lambda configurations: configurations.read())
@@ -182,7 +182,7 @@
 ) -> NoReturn:
     past = None
     if base:
-        past = _run(store, lambda configurations: configurations.read_past(base))
+        past = _run(store, lambda configurations: configurations.read_revision(base))
     _show_conflict(past, current)
 
 
--- a/src/zinniaspool/control/leases.py
+++ b/src/zinniaspool/control/leases.py
@@ -8,7 +8,7 @@
 
 from zinniaspool.core.ids import FabricDomainId, NodeId, Revision
 from zinniaspool.core.plans import DomainPlan
-from zinniaspool.store import LeaseId, Store, StoreFault, settle_swap
+from zinniaspool.store import LeaseId, Store, StoreFault, swap_and_confirm
 
 __all__ = ["DomainStore", "StoredPlan"]
 
@@ -73,7 +73,7 @@
             return False
         lease = granted.ok_value
         value = msgspec.json.encode(_HolderValue(secrets.token_hex(8), self._node))
-        written = await settle_swap(
+        written = await swap_and_confirm(
             self._store, key, value.decode(), Revision(0), lease
         )
         if isinstance(written, Err):
@@ -135,6 +135,6 @@
         """Replace the plan if its revision is the expected one."""
         stored = StoredPlan(secrets.token_hex(8), plan)
         value = msgspec.json.encode(stored).decode()
-        return await settle_swap(
+        return await swap_and_confirm(
             self._store, _PLANS_PREFIX + self._domain, value, expected
         )
--- a/src/zinniaspool/entry/handover.py
+++ b/src/zinniaspool/entry/handover.py
@@ -12,7 +12,7 @@
 from zinniaspool.core.requests.claims import find_slot
 from zinniaspool.core.requests.keys import Fingerprint, KeyHash, StoredOutcome
 from zinniaspool.entry.sinks import CallOutcome, StoredAnswer
-from zinniaspool.store import Store, settle_swap
+from zinniaspool.store import Store, swap_and_confirm
 
 __all__ = ["AnswerHandover"]
 
@@ -105,7 +105,7 @@
             f"{self._writer_id}:{self._write_count}",
             _keep_newest(list(merged.values())),
         )
-        written = await settle_swap(
+        written = await swap_and_confirm(
             self._store,
             _make_key(slot),
             msgspec.json.encode(page).decode(),
--- a/src/zinniaspool/fleet/mesh.py
+++ b/src/zinniaspool/fleet/mesh.py
@@ -140,7 +140,7 @@
         self, address: Address, watch: FleetWatch
     ) -> FleetUpdate | None:
         """Request an update from a process; return None if no answer came."""
-        answer = await self._query_links.ask(address, watch)
+        answer = await self._query_links.request(address, watch)
         return answer if isinstance(answer, FleetUpdate) else None
 
     def sum_demands(self) -> list[ModelDemandReport]:
@@ -152,7 +152,7 @@
 
         A process that has ended, whose VM refuses connections, does not.
         """
-        status = await self._query_links.ask(address, StoreStatusRequest())
+        status = await self._query_links.request(address, StoreStatusRequest())
         if isinstance(status, StoreStatus):
             return status.reachable
         return False if await is_connection_refused(address) else None
@@ -163,7 +163,7 @@
         Returns:
             Its age in seconds; None if no answer came.
         """
-        status = await self._query_links.ask(address, StoreStatusRequest())
+        status = await self._query_links.request(address, StoreStatusRequest())
         return status.holder_unheard_s if isinstance(status, StoreStatus) else None
 
     def send(self, addresses: Collection[Address], message: Message) -> None:
@@ -172,7 +172,7 @@
             return
         frame = encode_frame(message)
         for address in addresses:
-            if not self._send_links.post(address, frame):
+            if not self._send_links.send_nowait(address, frame):
                 sending = asyncio.create_task(self._send_links.send(address, message))
                 self._pending_sends.add(sending)
                 sending.add_done_callback(self._pending_sends.discard)
--- a/src/zinniaspool/node/board.py
+++ b/src/zinniaspool/node/board.py
@@ -122,7 +122,7 @@
         match message:
             case ProbeRequest():
                 asked = CompareRequest((), ())
-                answer = await self._links.ask(message.address, asked, message.node)
+                answer = await self._links.request(message.address, asked, message.node)
                 return ProbeResponse(isinstance(answer, CompareResponse))
             case Push() | CompareRequest() | JoinRequest():
                 now = time.monotonic()
@@ -146,7 +146,7 @@
         if not isinstance(action, SendRequest):
             await self._links.send(action.address, action.message, action.node)
             return
-        reply = await self._links.ask(action.address, action.message, action.node)
+        reply = await self._links.request(action.address, action.message, action.node)
         answer = (
             reply
             if isinstance(reply, CompareResponse | JoinPage | ProbeResponse)
--- a/src/zinniaspool/node/follower.py
+++ b/src/zinniaspool/node/follower.py
@@ -205,7 +205,7 @@
         self._start(self._machine.handle_part(part, content, self._now))
 
     async def _ask_peer(self, action: SendPeerRequest) -> None:
-        reply = await self._links.ask(action.address, action.message, action.node)
+        reply = await self._links.request(action.address, action.message, action.node)
         answer = reply if isinstance(reply, ConfigurationResponse) else None
         self._start(self._machine.handle_peer_response(action, answer, self._now))
 
--- a/src/zinniaspool/node/frame.py
+++ b/src/zinniaspool/node/frame.py
@@ -221,7 +221,7 @@
             len(asyncio.all_tasks()),
             dict(self.journal.counts),
             dict(self.store.calls),
-            self.store.limited,
+            self.store.refused_calls,
         )
 
     def _write_dump(self) -> None:
--- a/src/zinniaspool/node/lag.py
+++ b/src/zinniaspool/node/lag.py
@@ -41,7 +41,7 @@
         if member.state is MemberState.UNRESPONSIVE:
             return MemberRevision(member.node, member.state, None)
         async with gate:
-            reply = await links.ask(
+            reply = await links.request(
                 member.peer_address, ConfigurationRequest(), member.node
             )
         held = reply.in_force if isinstance(reply, ConfigurationResponse) else None
--- a/src/zinniaspool/peers/__init__.py
+++ b/src/zinniaspool/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Streams of msgpack messages between processes of ours, over TCP."""
+"""Streams of msgpack messages over TCP between processes of the fleet."""
 
 from zinniaspool.peers.frames import (
     FrameError,
--- a/src/zinniaspool/peers/frames.py
+++ b/src/zinniaspool/peers/frames.py
@@ -1,4 +1,7 @@
-"""Frames: four bytes of length, then one msgpack message."""
+"""Encoding of messages as frames.
+
+A frame is four bytes of length, big-endian, followed by one msgpack message.
+"""
 
 import asyncio
 from dataclasses import dataclass
@@ -9,7 +12,7 @@
 from zinniaspool.core.messages import Message
 
 __all__ = [
-    "MOST_FRAME_BYTES",
+    "MAX_FRAME_BYTES",
     "FrameError",
     "UnknownMessage",
     "encode_frame",
@@ -17,10 +20,10 @@
     "write_frame",
 ]
 
-MOST_FRAME_BYTES = 4 * 1024 * 1024
-"""Bytes of one frame, above the largest message."""
-_LENGTH_BYTES = 4
-"""Bytes of a frame's length."""
+MAX_FRAME_BYTES = 4 * 1024 * 1024
+"""Largest body of a frame; larger than the largest message."""
+_LENGTH_PREFIX_BYTES = 4
+"""Size of the length that precedes each message."""
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
@@ -36,51 +39,56 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownMessage:
-    """A whole message of a kind that only a newer version knows."""
+    """A complete message of a kind that this version does not know."""
 
     tag: str
 
 
 class FrameError(Exception):
-    """The other side sent what is not a message; the connection must end."""
+    """The peer broke the protocol; the connection must be closed."""
 
 
 def encode_frame(message: Message) -> bytes:
-    """Return a message as it goes over the wire."""
+    """Encode a message as a frame."""
     body = _encoder.encode(message)
-    return len(body).to_bytes(_LENGTH_BYTES, "big") + body
+    return len(body).to_bytes(_LENGTH_PREFIX_BYTES, "big") + body
 
 
 async def read_frame(
-    reader: asyncio.StreamReader, most_bytes: int = MOST_FRAME_BYTES
+    reader: asyncio.StreamReader, max_bytes: int = MAX_FRAME_BYTES
 ) -> Message | UnknownMessage | None:
-    """Return the next message, or None at the stream's end.
+    """Read the next message; return None at the end of the stream.
+
+    While a fleet is upgraded, its processes run different versions. A kind
+    of message that only the newer version knows must not close the
+    connection that carries all other messages, so it is returned as an
+    :class:`UnknownMessage`.
 
-    While a fleet is upgraded, its processes run versions side by side. A
-    kind of message that came with the newer one must not end the connection
-    on which all others travel.
+    Args:
+        reader: Stream to read from.
+        max_bytes: Largest body that is accepted.
 
     Raises:
         FrameError: The bytes are not a message of this protocol.
     """
     try:
-        head = await reader.readexactly(_LENGTH_BYTES)
-        length = int.from_bytes(head, "big")
-        if length > most_bytes:
-            raise FrameError(f"a frame of {length} bytes")
+        prefix = await reader.readexactly(_LENGTH_PREFIX_BYTES)
+        length = int.from_bytes(prefix, "big")
+        if length > max_bytes:
+            raise FrameError(f"frame of {length} bytes is too large")
         body = await reader.readexactly(length)
     except asyncio.IncompleteReadError:
         return None
     try:
         return _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        tag = _find_tag(body)
+        tag = _decode_tag(body)
         if tag is None or tag in _KNOWN_TAGS:
             raise FrameError(str(error)) from error
         return UnknownMessage(tag)
 
 
-def _find_tag(body: bytes) -> str | None:
+def _decode_tag(body: bytes) -> str | None:
     try:
         return _tag_decoder.decode(body).type
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -88,7 +96,7 @@
 
 
 def write_frame(writer: asyncio.StreamWriter, message: Message) -> int:
-    """Queue a message for sending and return its size in bytes."""
+    """Queue a message for sending and return the frame's size in bytes."""
     frame = encode_frame(message)
     writer.write(frame)
     return len(frame)
--- a/src/zinniaspool/peers/links.py
+++ b/src/zinniaspool/peers/links.py
@@ -1,8 +1,8 @@
-"""The side of a peer connection that opens it.
+"""The client side of connections between peers.
 
-A connection is opened when it is first used and then kept. Answers come in
-the order of the questions, so that a question whose answer did not come in
-time ends the connection.
+A connection is opened when it is first used and then stays open. Responses
+arrive in the order of the requests and carry no identifier, so a request
+whose response does not arrive in time closes its connection.
 """
 
 import asyncio
@@ -35,56 +35,65 @@
 
 
 class PeerLinks:
-    """Connections to peers, opened when first used.
+    """Sends messages to peers over connections that open on first use.
+
+    Attributes:
+        sent_bytes: Bytes of all frames written so far.
 
     Args:
-        say_hello: Makes the first message of a connection.
-        timeout_s: Longest wait for a connection or an answer.
-        tls: Wraps each connection where given.
+        make_hello: Returns the first message of a connection.
+        timeout_s: Longest time in seconds for one call, from opening the
+            connection to sending the message or receiving the response.
+        tls: TLS context of the connections; None for plain TCP.
     """
 
     def __init__(
         self,
-        say_hello: Callable[[], Hello],
+        make_hello: Callable[[], Hello],
         timeout_s: float = 1.0,
         tls: ssl.SSLContext | None = None,
     ) -> None:
         self._tls = tls
-        self._say_hello = say_hello
+        self._make_hello = make_hello
         self._timeout_s = timeout_s
         self.sent_bytes = 0
         self._links: dict[Address, _Link] = {}
-        self._opening: dict[Address, asyncio.Lock] = {}
+        self._open_locks: dict[Address, asyncio.Lock] = {}
 
     async def send(
         self, address: Address, message: Message, node: NodeId | None = None
     ) -> bool:
-        """Send a message that has no answer; False when it could not leave.
+        """Send a message that has no response.
 
         Args:
-            address: Where the peer listens.
-            message: What to send.
-            node: Who must be listening there; None for whoever does.
+            address: Address at which the peer listens.
+            message: Message to send.
+            node: Process that must be listening there; None for any.
+
+        Returns:
+            Whether the message was sent; it may still get lost.
         """
         try:
             async with asyncio.timeout(self._timeout_s):
-                link = await self._get(address, node)
+                link = await self._get_link(address, node)
                 self.sent_bytes += write_frame(link.writer, message)
                 await link.writer.drain()
         except (OSError, TimeoutError, FrameError) as error:
-            self._drop(address, error)
+            self._drop_link(address, error)
             return False
         return True
 
-    def post(self, address: Address, frame: bytes) -> bool:
-        """Write a message at once; False where nothing of it was written.
+    def send_nowait(self, address: Address, frame: bytes) -> bool:
+        """Write a frame without waiting, if the connection is ready for it.
 
         Args:
-            address: Where the peer listens.
-            frame: The message as it goes over the wire.
+            address: Address at which the peer listens.
+            frame: Encoded message.
 
         Returns:
-            Whether a connection was open and had nothing left to write.
+            Whether the frame was written. False means that nothing of it
+            was written, because no connection is open or the connection
+            still has data to send.
         """
         link = self._links.get(address)
         if link is None or link.writer.is_closing():
@@ -95,24 +104,29 @@
         self.sent_bytes += len(frame)
         return True
 
-    async def ask(
+    async def request(
         self, address: Address, message: Message, node: NodeId | None = None
     ) -> Message | None:
-        """Send a message and return its answer; None when none came.
+        """Send a message and return the response.
 
         Args:
-            address: Where the peer listens.
-            message: What to send.
-            node: Who must be listening there; None for whoever does.
+            address: Address at which the peer listens.
+            message: Message to send.
+            node: Process that must be listening there; None for any.
+
+        Returns:
+            The response; None if the peer could not be reached, did not
+            respond in time, or sent a kind of message that this version
+            does not know.
         """
         try:
             async with asyncio.timeout(self._timeout_s):
-                link = await self._get(address, node)
-                answer = await self._exchange(link, message)
+                link = await self._get_link(address, node)
+                response = await self._exchange(link, message)
         except (OSError, TimeoutError, FrameError) as error:
             _log.debug("peer-unreachable", address=address, error=str(error))
             return None
-        return None if isinstance(answer, UnknownMessage) else answer
+        return None if isinstance(response, UnknownMessage) else response
 
     def close(self) -> None:
         """Close all connections."""
@@ -125,41 +139,41 @@
     ) -> Message | UnknownMessage | None:
         async with link.lock:
             if link.writer.is_closing():
-                raise FrameError("closed while waiting for its turn")
-            answer = None
+                raise FrameError("connection closed while the request was queued")
+            response = None
             try:
                 self.sent_bytes += write_frame(link.writer, message)
-                answer = await read_frame(link.reader)
+                response = await read_frame(link.reader)
             finally:
-                # Without an answer, also when the asking task was cancelled,
-                # it may still come: on a kept connection the next question
-                # would get it as its own.
-                if answer is None:
+                # A response that was not read, also because the calling task
+                # was cancelled, may still arrive. On an open connection the
+                # next request would take it for its own response.
+                if response is None:
                     link.writer.close()
-            return answer
+            return response
 
-    async def _get(self, address: Address, node: NodeId | None) -> _Link:
-        # Two messages to a new peer at once must not open two connections,
-        # of which only one would be known and closed.
-        opening = self._opening.setdefault(address, asyncio.Lock())
-        async with opening:
+    async def _get_link(self, address: Address, node: NodeId | None) -> _Link:
+        # Two concurrent messages to a new peer must not open two connections:
+        # only one connection would be stored and later closed.
+        open_lock = self._open_locks.setdefault(address, asyncio.Lock())
+        async with open_lock:
             link = self._links.get(address)
             if link is None or link.writer.is_closing():
-                link = await self._open(address)
+                link = await self._open_link(address)
         if node is not None and link.node != node:
-            # Another VM has taken over the address of the one that is
-            # meant: what is meant for that one must not be taken by this.
-            raise FrameError(f"{link.node} listens there, not {node}")
+            # Another VM now has the address of the intended VM, and must not
+            # process a message that is meant for the intended VM.
+            raise FrameError(f"peer is {link.node}, not {node}")
         return link
 
-    async def _open(self, address: Address) -> _Link:
+    async def _open_link(self, address: Address) -> _Link:
         host, port = split_address(address)
         reader, writer = await asyncio.open_connection(host, port, ssl=self._tls)
         try:
-            self.sent_bytes += write_frame(writer, self._say_hello())
+            self.sent_bytes += write_frame(writer, self._make_hello())
             accepted = await read_frame(reader)
             if not isinstance(accepted, Accepted):
-                raise FrameError(f"not accepted: {accepted}")
+                raise FrameError(f"peer did not accept the connection: {accepted}")
         except BaseException:
             writer.close()
             raise
@@ -167,7 +181,7 @@
         self._links[address] = link
         return link
 
-    def _drop(self, address: Address, error: Exception) -> None:
+    def _drop_link(self, address: Address, error: Exception) -> None:
         link = self._links.pop(address, None)
         if link is not None:
             link.writer.close()
--- a/src/zinniaspool/peers/listener.py
+++ b/src/zinniaspool/peers/listener.py
@@ -1,4 +1,9 @@
-"""The side of a peer connection that accepts it."""
+"""The server side of connections between peers.
+
+The first message of a connection is a ``Hello`` with the fleet's secret. The
+listener accepts or refuses the peer, and passes all later messages to a
+handler.
+"""
 
 import asyncio
 import ssl
@@ -25,56 +30,60 @@
 __all__ = ["PeerHandler", "PeerListener"]
 
 _log = structlog.get_logger(__name__)
-_HELLO_S = 2.0
-"""Seconds that a peer has for its first message."""
-_MOST_HELLO_BYTES = 4096
-"""Whoever has not shown the secret yet cannot have us keep megabytes."""
+_HELLO_TIMEOUT_S = 2.0
+"""Seconds within which a peer must send its first message."""
+_MAX_HELLO_BYTES = 4096
+"""Largest first message.
+
+A peer that has not sent the secret yet must not make this process buffer
+megabytes.
+"""
 
 PeerHandler = Callable[[Hello, Message], Awaitable[Message | None]]
-"""Takes a message of a known peer; a returned message is sent back."""
+"""Handles a message of an accepted peer; its result is the response."""
 
 
 class PeerListener:
-    """Accepts peers' connections and hands on what they say.
+    """Accepts connections of peers and passes their messages to a handler.
 
     Args:
-        node: This process's name.
-        accepts: Tells whether a secret that a peer shows is the fleet's.
-        handler: Takes each message.
-        tls: Wraps each connection where given.
+        node: Name of this process.
+        check_secret: Returns whether a peer's secret is the fleet's.
+        handler: Handles each message.
+        tls: TLS context of the connections; None for plain TCP.
     """
 
     def __init__(
         self,
         node: NodeId,
-        accepts: Callable[[str], bool],
+        check_secret: Callable[[str], bool],
         handler: PeerHandler,
         tls: ssl.SSLContext | None = None,
     ) -> None:
         self._node = node
-        self._accepts = accepts
+        self._check_secret = check_secret
         self._tls = tls
         self._handler = handler
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def listen(self, address: Address) -> Address:
-        """Start listening and return the address, its port filled in."""
+        """Start listening; return the address with the port that is in use."""
         host, port = split_address(address)
         self._server = await asyncio.start_server(
-            self._serve, host, port, ssl=self._tls
+            self._serve_connection, host, port, ssl=self._tls
         )
         bound = self._server.sockets[0].getsockname()
         return Address(f"{address.rpartition(':')[0]}:{bound[1]}")
 
     def close(self) -> None:
-        """Stop listening and close the connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
             writer.close()
 
-    async def _serve(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
@@ -85,8 +94,8 @@
         except asyncio.CancelledError:
             pass
         except Exception:
-            # One peer's message must not take the process from the others:
-            # its connection alone ends, and the log names the fault.
+            # A message that the handler fails on must not affect the other
+            # peers: only its connection is closed, and the fault is logged.
             _log.exception("peer-handler-failed")
         finally:
             self._writers.discard(writer)
@@ -95,14 +104,14 @@
     async def _serve_messages(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        async with asyncio.timeout(_HELLO_S):
-            hello = await read_frame(reader, _MOST_HELLO_BYTES)
+        async with asyncio.timeout(_HELLO_TIMEOUT_S):
+            hello = await read_frame(reader, _MAX_HELLO_BYTES)
         if hello is None:
             return
         if not isinstance(hello, Hello):
             _log.warning("peer-refused", reason="hello")
             return
-        if not self._accepts(hello.secret):
+        if not self._check_secret(hello.secret):
             _log.warning("peer-refused", node=hello.node, reason="secret")
             write_frame(writer, Refused("secret"))
             return
@@ -116,7 +125,7 @@
             if isinstance(message, UnknownMessage):
                 _log.debug("message-unknown", node=hello.node, tag=message.tag)
                 continue
-            answer = await self._handler(hello, message)
-            if answer is not None:
-                write_frame(writer, answer)
+            response = await self._handler(hello, message)
+            if response is not None:
+                write_frame(writer, response)
                 await writer.drain()
--- a/src/zinniaspool/store/__init__.py
+++ b/src/zinniaspool/store/__init__.py
@@ -1,4 +1,4 @@
-"""The product's own clients of a key-value service and a VM list."""
+"""Clients of the platform's key-value service and of its list of VMs."""
 
 from zinniaspool.store.budget import BudgetedStore, CallKind
 from zinniaspool.store.client import (
@@ -16,7 +16,7 @@
     ConfigurationStore,
     Proposal,
 )
-from zinniaspool.store.settled import settle_swap
+from zinniaspool.store.settled import swap_and_confirm
 from zinniaspool.store.vmlist import fetch_vm_list
 
 __all__ = [
@@ -34,5 +34,5 @@
     "StoreListing",
     "StoreValue",
     "fetch_vm_list",
-    "settle_swap",
+    "swap_and_confirm",
 ]
--- a/src/zinniaspool/store/client.py
+++ b/src/zinniaspool/store/client.py
@@ -1,4 +1,8 @@
-"""Client of the platform's key-value service, over HTTP and JSON."""
+"""Client of the platform's key-value service, over HTTP and JSON.
+
+:class:`Store` lists the operations that the system needs; the classes that
+work with the store depend on it and not on the HTTP client.
+"""
 
 from dataclasses import dataclass
 from typing import NewType, Protocol, TypeVar
@@ -30,7 +34,7 @@
 LeaseId = NewType("LeaseId", str)
 
 _NOT_FOUND = 404
-"""HTTP status."""
+"""HTTP status of a key or lease that does not exist."""
 
 _T = TypeVar("_T")
 
@@ -63,17 +67,17 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchBatch:
-    """What a watch saw up to a revision; empty when its time ran out."""
+    """Changes that a watch saw up to a revision; empty after its timeout."""
 
     changes: tuple[StoreChange, ...]
     revision: Revision
 
 
 class Store(Protocol):
-    """What the product asks of the platform's key-value service."""
+    """Operations of the platform's key-value service that this system uses."""
 
     async def get(self, key: str) -> Result[StoreValue | None, StoreFault]:
-        """Return a key's value, or None when it is absent."""
+        """Return a key's value, or None if the key is absent."""
         ...
 
     async def list(self, prefix: str) -> Result[StoreListing, StoreFault]:
@@ -83,19 +87,23 @@
     async def swap(
         self, key: str, value: str, expected: Revision, lease: LeaseId | None = None
     ) -> Result[Revision, StoreFault]:
-        """Write if the key is at ``expected`` (0: absent)."""
+        """Write a value if the key is at revision ``expected`` (0: absent).
+
+        With ``lease``, the key is deleted when the lease expires. Returns the
+        revision of the write.
+        """
         ...
 
     async def delete(self, key: str, expected: Revision) -> Result[None, StoreFault]:
-        """Delete if the key is at ``expected``."""
+        """Delete a key if it is at revision ``expected``."""
         ...
 
     async def grant(self, ttl_s: float) -> Result[LeaseId, StoreFault]:
-        """Return a new lease; keys written under it go when it lapses."""
+        """Create a lease; keys written under it go when it expires."""
         ...
 
     async def renew(self, lease: LeaseId) -> Result[None, StoreFault]:
-        """Start a lease's time anew."""
+        """Restart a lease's time to live."""
         ...
 
     async def revoke(self, lease: LeaseId) -> Result[None, StoreFault]:
@@ -105,7 +113,7 @@
     async def watch(
         self, prefix: str, after: Revision, timeout_s: float
     ) -> Result[WatchBatch, StoreFault]:
-        """Wait for changes below a prefix later than a revision."""
+        """Wait for changes below a prefix that are later than a revision."""
         ...
 
 
@@ -115,25 +123,30 @@
     lease: str | None = None
 
 
-class _Written(msgspec.Struct):
+class _SwapResult(msgspec.Struct):
     revision: Revision
 
 
-class _Granted(msgspec.Struct):
+class _GrantResult(msgspec.Struct):
     lease: LeaseId
 
 
-class _Granting(msgspec.Struct):
+class _GrantBody(msgspec.Struct):
     ttl_s: float
 
 
 class HttpStore:
-    """The store over HTTP; any of its addresses will do.
+    """Calls the store over HTTP at any of its addresses.
+
+    Attributes:
+        calls: Number of requests so far.
 
     Args:
         client: Sends the requests.
-        addresses: Tried in turn when one cannot be reached.
-        timeout_s: Longest wait for an answer, but for watches.
+        addresses: Addresses of the store, all equivalent. After a transport
+            failure the next call goes to the next address.
+        timeout_s: Seconds to wait for a response; a watch adds its own
+            timeout.
     """
 
     def __init__(
@@ -143,41 +156,41 @@
         self._client = client
         self._addresses = addresses
         self._timeout_s = timeout_s
-        self._current = 0
+        self._address_index = 0
 
     async def get(self, key: str) -> Result[StoreValue | None, StoreFault]:
         """See :meth:`Store.get`."""
-        answer = await self._call("GET", f"/kv/{quote(key)}")
-        if isinstance(answer, Err):
-            return answer
-        if answer.ok_value.status == _NOT_FOUND:
+        response = await self._call("GET", f"/kv/{quote(key)}")
+        if isinstance(response, Err):
+            return response
+        if response.ok_value.status == _NOT_FOUND:
             return Ok(None)
-        return _decode(answer, StoreValue)
+        return _decode(response, StoreValue)
 
     async def list(self, prefix: str) -> Result[StoreListing, StoreFault]:
         """See :meth:`Store.list`."""
-        answer = await self._call("GET", f"/kv?prefix={quote(prefix, safe='')}")
-        return _decode(answer, StoreListing)
+        response = await self._call("GET", f"/kv?prefix={quote(prefix, safe='')}")
+        return _decode(response, StoreListing)
 
     async def swap(
         self, key: str, value: str, expected: Revision, lease: LeaseId | None = None
     ) -> Result[Revision, StoreFault]:
         """See :meth:`Store.swap`."""
         body = msgspec.json.encode(_SwapBody(value, expected, lease))
-        answer = await self._call("PUT", f"/kv/{quote(key)}", body)
-        return _decode(answer, _Written).map(lambda written: written.revision)
+        response = await self._call("PUT", f"/kv/{quote(key)}", body)
+        return _decode(response, _SwapResult).map(lambda result: result.revision)
 
     async def delete(self, key: str, expected: Revision) -> Result[None, StoreFault]:
         """See :meth:`Store.delete`."""
-        answer = await self._call("DELETE", f"/kv/{quote(key)}?expected={expected}")
-        return answer.map(lambda _: None)
+        response = await self._call("DELETE", f"/kv/{quote(key)}?expected={expected}")
+        return response.map(lambda _: None)
 
     async def grant(self, ttl_s: float) -> Result[LeaseId, StoreFault]:
         """See :meth:`Store.grant`."""
-        answer = await self._call(
-            "POST", "/leases", msgspec.json.encode(_Granting(ttl_s))
+        response = await self._call(
+            "POST", "/leases", msgspec.json.encode(_GrantBody(ttl_s))
         )
-        return _decode(answer, _Granted).map(lambda granted: granted.lease)
+        return _decode(response, _GrantResult).map(lambda result: result.lease)
 
     async def renew(self, lease: LeaseId) -> Result[None, StoreFault]:
         """See :meth:`Store.renew`."""
@@ -192,14 +205,14 @@
     ) -> Result[WatchBatch, StoreFault]:
         """See :meth:`Store.watch`."""
         query = f"prefix={quote(prefix, safe='')}&after={after}&timeout_s={timeout_s}"
-        answer = await self._call("GET", f"/watch?{query}", wait_s=timeout_s)
-        return _decode(answer, WatchBatch)
+        response = await self._call("GET", f"/watch?{query}", wait_s=timeout_s)
+        return _decode(response, WatchBatch)
 
     async def _call(
         self, method: str, target: str, body: bytes = b"", wait_s: float = 0.0
-    ) -> "Result[_StoreAnswer, StoreFault]":
+    ) -> "Result[_StoreResponse, StoreFault]":
         self.calls += 1
-        address = self._addresses[self._current]
+        address = self._addresses[self._address_index]
         headers = Headers.of(content_type="application/json")
         request = Request(method, target, headers, body)
         try:
@@ -207,13 +220,13 @@
                 address, request, self._timeout_s + wait_s
             )
         except TransportError as error:
-            self._current = (self._current + 1) % len(self._addresses)
+            self._address_index = (self._address_index + 1) % len(self._addresses)
             if error.failure is TransportFailure.NOT_SENT:
                 return Err(StoreFault.UNAVAILABLE)
             return Err(StoreFault.UNKNOWN)
         match status:
             case 200 | 404:
-                return Ok(_StoreAnswer(status, data))
+                return Ok(_StoreResponse(status, data))
             case 412:
                 return Err(StoreFault.CONFLICT)
             case 429:
@@ -225,29 +238,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _StoreAnswer:
+class _StoreResponse:
     status: int
     body: bytes
 
 
 def _decode(
-    answer: Result[_StoreAnswer, StoreFault], kind: type[_T]
+    response: Result[_StoreResponse, StoreFault], kind: type[_T]
 ) -> Result[_T, StoreFault]:
-    if isinstance(answer, Err):
-        return answer
-    if answer.ok_value.status == _NOT_FOUND:
+    if isinstance(response, Err):
+        return response
+    if response.ok_value.status == _NOT_FOUND:
         return Err(StoreFault.NO_LEASE)
     try:
-        return Ok(msgspec.json.decode(answer.ok_value.body, type=kind))
+        return Ok(msgspec.json.decode(response.ok_value.body, type=kind))
     except msgspec.MsgspecError:
         return Err(StoreFault.UNKNOWN)
 
 
 def _require_lease(
-    answer: Result[_StoreAnswer, StoreFault],
+    response: Result[_StoreResponse, StoreFault],
 ) -> Result[None, StoreFault]:
-    if isinstance(answer, Err):
-        return answer
-    if answer.ok_value.status == _NOT_FOUND:
+    if isinstance(response, Err):
+        return response
+    if response.ok_value.status == _NOT_FOUND:
         return Err(StoreFault.NO_LEASE)
     return Ok(None)
--- a/src/zinniaspool/store/configurations.py
+++ b/src/zinniaspool/store/configurations.py
@@ -1,4 +1,10 @@
-"""The operators' configuration in the store: read, accept, history."""
+"""Reads and replaces the operators' configuration in the store.
+
+A configuration is stored as parts, each under the hash of its content, and
+one root that names them. A change writes its parts first and then replaces
+the root by a compare-and-swap, so a change of many parts is accepted as a
+whole or not at all. Past roots stay in a history for rollbacks.
+"""
 
 import asyncio
 import time
@@ -31,19 +37,25 @@
     "Proposal",
 ]
 
-_KEPT_HISTORY = 64
-"""Accepted changes kept for a rollback."""
-_COLLECT_EVERY = 16
-"""Changes between sweeps of parts that nothing names."""
-_TRIES = 4
-"""Tries of a call whose outcome is unknown."""
-_RETRY_S = 0.2
-"""Seconds between them."""
+_MAX_PAST_ROOTS = 64
+"""Past roots that stay in the history for a rollback."""
+_CHANGES_PER_COLLECTION = 16
+"""Accepted changes between collections of keys that are not needed."""
+_MAX_ATTEMPTS = 4
+"""Attempts of a write that fails or whose outcome is unknown."""
+_RETRY_DELAY_S = 0.2
+"""Seconds between attempts."""
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedRoot:
-    """An accepted configuration: its revision, root and parts."""
+    """An accepted configuration.
+
+    Attributes:
+        revision: Revision at which the root was accepted.
+        root: Names the parts.
+        contents: Content of each part; empty in a listing of the history.
+    """
 
     revision: Revision
     root: Root
@@ -52,13 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A change to accept.
+    """A change of the configuration.
 
     Attributes:
         tag: Unique to this change.
-        author: Who makes it.
-        contents: All parts of the configuration that is to be in force.
-        reason: For a person.
+        author: Operator who makes the change.
+        contents: Content of every part of the new configuration, including
+            the parts that the change leaves as they are.
+        reason: Description of the change for operators.
     """
 
     tag: str
@@ -72,8 +85,8 @@
     """Why a change was not accepted.
 
     Attributes:
-        fault: What the store said; ``CONFLICT`` when another change came
-            first, ``UNKNOWN`` when it may have been accepted.
+        fault: The store's fault: ``CONFLICT`` if another change was accepted
+            first, ``UNKNOWN`` if this change may have been accepted.
         current: The accepted configuration, where it could be read.
     """
 
@@ -82,7 +95,9 @@
 
 
 class ConfigurationStore:
-    """Accepts changes of the configuration, one swap each.
+    """Reads the configuration and its history, and accepts changes.
+
+    Each change takes effect by one compare-and-swap of the root.
 
     Args:
         store: The platform's store.
@@ -92,29 +107,31 @@
         self._store = store
 
     async def read(self) -> Result[AcceptedRoot | None, StoreFault]:
-        """Return the accepted configuration; None before the first."""
-        return await self._read_at(ROOT_KEY)
+        """Return the accepted configuration; None if there is none yet."""
+        return await self._read_configuration(ROOT_KEY)
 
-    async def read_past(
+    async def read_revision(
         self, revision: Revision
     ) -> Result[AcceptedRoot | None, StoreFault]:
-        """Return the configuration of a revision; None when not kept."""
+        """Return the configuration of a revision; None if it is not stored."""
         current = await self._get_root(ROOT_KEY)
         if isinstance(current, Err):
             return current
-        found = current.ok_value
-        if found is not None and found.revision == revision:
-            return await self._read_at(ROOT_KEY)
-        past = await self._read_at(make_history_key(revision))
+        newest = current.ok_value
+        if newest is not None and newest.revision == revision:
+            return await self._read_configuration(ROOT_KEY)
+        past = await self._read_configuration(make_history_key(revision))
         if isinstance(past, Err) or past.ok_value is None:
             return past
-        kept = past.ok_value
-        return Ok(AcceptedRoot(revision, kept.root, kept.contents))
+        # The revision of the history key is that of the write which copied
+        # the root there, not the one at which the root was accepted.
+        stored = past.ok_value
+        return Ok(AcceptedRoot(revision, stored.root, stored.contents))
 
     async def list_history(
         self,
     ) -> Result[tuple[AcceptedRoot, ...], StoreFault]:
-        """Return the kept revisions, oldest first, without their parts."""
+        """Return the stored revisions, oldest first, without their parts."""
         current = await self._get_root(ROOT_KEY)
         if isinstance(current, Err):
             return current
@@ -125,30 +142,36 @@
             return listing
         newest = current.ok_value
         past = [
-            AcceptedRoot(_read_revision(value.key), decode_root(value.value), {})
+            AcceptedRoot(_parse_revision(value.key), decode_root(value.value), {})
             for value in listing.ok_value.values
         ]
-        kept = [root for root in past if root.revision < newest.revision]
-        return Ok((*kept, AcceptedRoot(newest.revision, _decode(newest), {})))
+        older = [root for root in past if root.revision < newest.revision]
+        return Ok((*older, AcceptedRoot(newest.revision, _decode(newest), {})))
 
     async def accept(
         self, proposal: Proposal, base: AcceptedRoot | None
     ) -> Result[Revision, AcceptFault]:
-        """Make a proposal the accepted configuration if ``base`` still is.
+        """Replace the accepted configuration if it is still ``base``.
 
-        The parts and the base's place in the history are written first, so
-        that a reader of the new root finds all that it names; what a failure
-        leaves behind is named by no root and is collected later.
+        The parts and the base's entry in the history are written first, so
+        that a reader of the new root finds everything that the root names.
+        Parts that a failed change leaves behind are named by no root and
+        are collected later.
 
         Args:
-            proposal: The change, checked whole.
-            base: What it was based on; None for the first.
+            proposal: The change, already validated as a whole.
+            base: Configuration that the change is based on; None for the
+                first one.
+
+        Returns:
+            The revision at which the change was accepted, or why it was
+            not.
         """
-        written = await self._write_parts(proposal.contents, base)
-        if written is None and base is not None:
-            written = await self._keep_history(base)
-        if written is not None:
-            return Err(AcceptFault(written))
+        fault = await self._write_parts(proposal.contents, base)
+        if fault is None and base is not None:
+            fault = await self._write_history(base)
+        if fault is not None:
+            return Err(AcceptFault(fault))
         root = Root(
             proposal.tag,
             proposal.author,
@@ -160,23 +183,23 @@
         )
         accepted = await self._swap_root(root)
         if isinstance(accepted, Err):
-            return await self._explain(accepted.err_value)
-        if root.number % _COLLECT_EVERY == 0:
-            await self.collect()
+            return await self._make_fault(accepted.err_value)
+        if root.number % _CHANGES_PER_COLLECTION == 0:
+            await self.collect_garbage()
         return Ok(accepted.ok_value)
 
-    async def collect(self) -> int:
-        """Delete history beyond what is kept, and parts that no root names.
+    async def collect_garbage(self) -> int:
+        """Delete the oldest past roots and the parts that no root names.
 
-        A part may be unnamed because a change that needs it is just being
-        made. That change wrote the part after it read its base. So a part
-        written before the current root was accepted can only belong to a
-        change with an older base, whose swap is bound to fail; all later
-        ones are left alone. Deleting at the listed revision covers a part
-        that is written again meanwhile.
+        No root may name a part yet because the change that needs the part is
+        being made. That change wrote the part after it had read its base. So
+        a part written before the current root was accepted can only belong
+        to a change with an older base, whose swap fails; parts written later
+        are not deleted. A part that is written again in the meantime stays,
+        because each key is deleted only at the revision that was listed.
 
         Returns:
-            How many keys were deleted.
+            Number of deleted keys.
         """
         current = await self._get_root(ROOT_KEY)
         history = await self._store.list(HISTORY_PREFIX)
@@ -191,21 +214,21 @@
         if newest is None:
             return 0
         past = [v for v in history.ok_value.values if v.revision < newest.revision]
-        dropped, kept = past[:-_KEPT_HISTORY], past[-_KEPT_HISTORY:]
-        roots = [_decode(newest), *map(_decode, kept)]
+        expired, retained = past[:-_MAX_PAST_ROOTS], past[-_MAX_PAST_ROOTS:]
+        roots = [_decode(newest), *map(_decode, retained)]
         named = {PART_PREFIX + part for root in roots for part in root.parts.values()}
         unnamed = [
             value
             for value in parts.ok_value.values
             if value.key not in named and value.revision < newest.revision
         ]
-        return await self._delete([*dropped, *unnamed])
+        return await self._delete_values([*expired, *unnamed])
 
-    async def _delete(self, values: Iterable[StoreValue]) -> int:
+    async def _delete_values(self, values: Iterable[StoreValue]) -> int:
         deleted = 0
         for value in values:
-            answer = await self._store.delete(value.key, value.revision)
-            deleted += isinstance(answer, Ok)
+            result = await self._store.delete(value.key, value.revision)
+            deleted += isinstance(result, Ok)
         return deleted
 
     async def _write_parts(
@@ -222,90 +245,97 @@
         return None
 
     async def _write_part(self, part: PartHash, content: str) -> StoreFault | None:
-        """Write a part anew, also when it is there already.
+        """Write a part, also if the store has it already.
 
-        One that stands there from an earlier change may be about to be
-        collected; its new revision keeps it.
+        A part left by an earlier change may be about to be collected; the
+        revision of the new write prevents that.
         """
         key = PART_PREFIX + part
         expected = Revision(0)
         fault = StoreFault.UNKNOWN
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             written = await self._store.swap(key, content, expected)
             if isinstance(written, Ok):
                 return None
             fault = written.err_value
             if fault in (StoreFault.LIMITED, StoreFault.UNAVAILABLE):
-                await asyncio.sleep(_RETRY_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
             found = await self._store.get(key)
             if isinstance(found, Ok):
                 expected = found.ok_value.revision if found.ok_value else Revision(0)
         return fault
 
-    async def _keep_history(self, base: AcceptedRoot) -> StoreFault | None:
+    async def _write_history(self, base: AcceptedRoot) -> StoreFault | None:
         key = make_history_key(base.revision)
         fault = StoreFault.UNKNOWN
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             written = await self._store.swap(key, encode_root(base.root), Revision(0))
             if isinstance(written, Ok) or written.err_value is StoreFault.CONFLICT:
                 return None
             fault = written.err_value
-            await asyncio.sleep(_RETRY_S)
+            await asyncio.sleep(_RETRY_DELAY_S)
         return fault
 
     async def _swap_root(self, root: Root) -> Result[Revision, StoreFault]:
-        """Swap the root, and know whether it took effect.
+        """Swap the root and find out whether the swap took effect.
 
-        The answer may be lost after the write took effect, and by the time
-        the root is read back another change may stand in its place: then
-        this one is in the history, under its tag. Where it is neither there
-        nor in the way of the swap, the swap can be tried again, since it
-        can take effect only once.
+        The store's response may be lost after the write took effect. By the
+        time the root is read back, another change may have replaced it; then
+        the history has this root, recognizable by its tag. If this root is
+        found in neither place and the swap met no conflict, the swap is
+        tried again, which is safe because it can take effect only once.
         """
-        doubtful = False
+        outcome_unknown = False
         fault = StoreFault.UNKNOWN
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             written = await self._store.swap(ROOT_KEY, encode_root(root), root.base)
             if isinstance(written, Ok):
                 return written
             fault = written.err_value
-            if fault is StoreFault.CONFLICT and not doubtful:
+            if fault is StoreFault.CONFLICT and not outcome_unknown:
                 return written
-            doubtful = doubtful or fault is StoreFault.UNKNOWN
+            outcome_unknown = outcome_unknown or fault is StoreFault.UNKNOWN
             found = await self._find_accepted(root)
             if isinstance(found, Ok):
                 if found.ok_value is not None:
                     return Ok(found.ok_value)
                 if fault is StoreFault.CONFLICT:
                     return Err(fault)
-            await asyncio.sleep(_RETRY_S)
-        return Err(StoreFault.UNKNOWN if doubtful else fault)
+            await asyncio.sleep(_RETRY_DELAY_S)
+        return Err(StoreFault.UNKNOWN if outcome_unknown else fault)
 
     async def _find_accepted(self, root: Root) -> Result[Revision | None, StoreFault]:
-        """Return at which revision a root was accepted; None if it wasn't."""
+        """Return the revision at which a root was accepted.
+
+        Follows the chain of bases from the current root back through the
+        history. The result is None if the root was not accepted, and
+        ``UNKNOWN`` if a root of the chain is missing in the history.
+        """
         found = await self._get_root(ROOT_KEY)
         while isinstance(found, Ok) and found.ok_value is not None:
             value = found.ok_value
-            held = _decode(value)
-            if held.tag == root.tag:
+            stored = _decode(value)
+            if stored.tag == root.tag:
                 return Ok(value.revision)
-            if held.number <= root.number or held.base == Revision(0):
+            if stored.number <= root.number or stored.base == Revision(0):
                 return Ok(None)
-            earlier = await self._get_root(make_history_key(held.base))
+            earlier = await self._get_root(make_history_key(stored.base))
             if isinstance(earlier, Ok) and earlier.ok_value is None:
                 return Err(StoreFault.UNKNOWN)
             if isinstance(earlier, Ok) and earlier.ok_value is not None:
                 value = earlier.ok_value
-                found = Ok(StoreValue(value.key, value.value, held.base))
+                found = Ok(StoreValue(value.key, value.value, stored.base))
             else:
                 found = earlier
         return found.map(lambda _: None)
 
-    async def _explain(self, fault: StoreFault) -> Result[Revision, AcceptFault]:
+    async def _make_fault(self, fault: StoreFault) -> Result[Revision, AcceptFault]:
         current = await self.read()
         return Err(AcceptFault(fault, current.unwrap_or(None)))
 
-    async def _read_at(self, key: str) -> Result[AcceptedRoot | None, StoreFault]:
+    async def _read_configuration(
+        self, key: str
+    ) -> Result[AcceptedRoot | None, StoreFault]:
         found = await self._get_root(key)
         if isinstance(found, Err):
             return found
@@ -337,5 +367,5 @@
     return decode_root(value.value)
 
 
-def _read_revision(key: str) -> Revision:
+def _parse_revision(key: str) -> Revision:
     return Revision(int(key.removeprefix(HISTORY_PREFIX)))
--- a/src/zinniaspool/store/settled.py
+++ b/src/zinniaspool/store/settled.py
@@ -1,37 +1,39 @@
-"""Writes whose lost answers are settled by reading back."""
+"""Compare-and-swap that reads the key back if the response is lost."""
 
 from result import Err, Ok, Result
 
 from zinniaspool.core.ids import Revision
 from zinniaspool.store.client import LeaseId, Store, StoreFault
 
-__all__ = ["settle_swap"]
+__all__ = ["swap_and_confirm"]
 
 
-async def settle_swap(
+async def swap_and_confirm(
     store: Store,
     key: str,
     value: str,
     expected: Revision,
     lease: LeaseId | None = None,
 ) -> Result[Revision, StoreFault]:
-    """Swap a value that only this writer can have written; know the outcome.
+    """Swap a value and find out whether the swap took effect.
 
-    The store's answer may be lost after the write took effect. Taking that
-    for a failure would make the writer lose what it holds; taking it for a
-    success would let it act on what it does not hold. Reading back decides,
-    since ``value`` holds its writer's unique tag.
+    The store's response may be lost after the write took effect. If that
+    counted as a failure, the writer would lose a key that it owns; if it
+    counted as a success, the writer could act on a key that it does not
+    own. Reading the key back decides, since ``value`` contains a tag that
+    only this write can have written.
 
     Args:
         store: The platform's store.
-        key: What to write.
-        value: Must hold a tag that is unique to this write.
-        expected: The revision to replace; 0 for an absent key.
-        lease: The lease that the key goes with.
+        key: Key to write.
+        value: Value to write; contains a tag that is unique to this write.
+        expected: Revision of the key to replace; 0 for an absent key.
+        lease: Lease with which the key expires.
 
     Returns:
-        The key's revision; ``CONFLICT`` when another write came first;
-        ``UNKNOWN`` only when reading back failed as well.
+        The revision of the write; ``CONFLICT`` if another write came first;
+        ``UNKNOWN`` if the response was lost and the key could not be read
+        back, or still has its old value, because the write may yet arrive.
     """
     written = await store.swap(key, value, expected, lease)
     if not (isinstance(written, Err) and written.err_value is StoreFault.UNKNOWN):
@@ -44,5 +46,5 @@
         return Ok(current.revision)
     if current is not None and current.revision != expected:
         return Err(StoreFault.CONFLICT)
-    # Unchanged so far, but the write may still be on its way.
+    # The key is unchanged so far, but the write may still arrive.
     return Err(StoreFault.UNKNOWN)
--- a/src/zinniaspool/store/vmlist.py
+++ b/src/zinniaspool/store/vmlist.py
@@ -1,4 +1,7 @@
-"""Client of the platform's lagging list of live and leaving VMs."""
+"""Client of the platform's list of live and leaving VMs.
+
+The list lags behind the VMs by seconds.
+"""
 
 import msgspec
 from result import Err, Ok, Result
@@ -11,13 +14,16 @@
 __all__ = ["fetch_vm_list"]
 
 _OK = 200
-"""HTTP status."""
+"""HTTP status of a successful request."""
 
 
 async def fetch_vm_list(
     client: HttpClient, address: Address, timeout_s: float = 2.0
 ) -> Result[tuple[VmListing, ...], StoreFault]:
-    """Return the list as the platform has it now, seconds behind the VMs."""
+    """Return the platform's current list, which lags the VMs by seconds.
+
+    Any failure, also a malformed response, is ``UNAVAILABLE``.
+    """
     try:
         status, body = await client.fetch(address, Request("GET", "/vms"), timeout_s)
     except TransportError:
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -203,7 +203,7 @@
     heard = []
     for context in contexts:
         links = PeerLinks(lambda: hello, 2.0, context)
-        heard.append(await links.ask(address, hello) is not None)
+        heard.append(await links.request(address, hello) is not None)
         links.close()
     listener.close()
     return heard
--- a/tests/test_configuration_accepting.py
+++ b/tests/test_configuration_accepting.py
@@ -162,7 +162,7 @@
             store.after_root = overtake
         accepted = await ConfigurationStore(store).accept(_propose(2), base)
         assert isinstance(accepted, Ok)
-        found = await ConfigurationStore(store).read_past(accepted.ok_value)
+        found = await ConfigurationStore(store).read_revision(accepted.ok_value)
         kept = found.unwrap()
         assert kept is not None
         assert kept.contents == _propose(2).contents
@@ -207,7 +207,7 @@
         deleted: list[int] = []
 
         async def collect_now(_: str) -> None:
-            deleted.append(await ConfigurationStore(store).collect())
+            deleted.append(await ConfigurationStore(store).collect_garbage())
 
         store.before_root = collect_now
         await _accept(store, 3)
@@ -232,7 +232,9 @@
         assert revisions == sorted(set(revisions))
         assert [kept.root.number for kept in history][-1] == 199
         for kept in history:
-            past = (await ConfigurationStore(store).read_past(kept.revision)).unwrap()
+            past = (
+                await ConfigurationStore(store).read_revision(kept.revision)
+            ).unwrap()
             assert past is not None
 
     asyncio.run(grow())
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -95,15 +95,17 @@
         address = await listener.listen(Address("127.0.0.1:0"))
         links = PeerLinks(lambda: _HELLO, timeout_s=20.0)
         slow = asyncio.create_task(
-            links.ask(address, ProbeRequest(NodeId("slow"), Address("")))
+            links.request(address, ProbeRequest(NodeId("slow"), Address("")))
         )
         await received.wait()
         slow.cancel()
         await asyncio.gather(slow, return_exceptions=True)
         release.set()
-        answer = await links.ask(address, ProbeRequest(NodeId("quick"), Address("")))
+        answer = await links.request(
+            address, ProbeRequest(NodeId("quick"), Address(""))
+        )
         assert answer == ProbeResponse(alive=True)
-        wrong = await links.ask(
+        wrong = await links.request(
             address, ProbeRequest(NodeId("quick"), Address("")), NodeId("another")
         )
         assert wrong is None
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Peers that break the protocol, and peers of other versions."""
+"""Peers that break the protocol, peers of other versions, message order."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,7 +23,7 @@
 _HELLO = Hello(PROTOCOL_VERSION, NodeId("a"), Incarnation(1), FailureDomainId("d"), "s")
 
 
-def _frame(value: Any) -> bytes:
+def _encode_value(value: Any) -> bytes:
     body = msgspec.msgpack.encode(value)
     return len(body).to_bytes(4, "big") + body
 
@@ -34,21 +34,23 @@
     return Accepted(7, NodeId("b"))
 
 
-def _try(trial: Callable[[Address], Awaitable[None]]) -> None:
+def _run_with_listener(scenario: Callable[[Address], Awaitable[None]]) -> None:
+    """Run a scenario; another peer's connection must survive it."""
+
     async def run() -> None:
-        listener = PeerListener(NodeId("b"), lambda shown: shown == "s", _handle)
+        listener = PeerListener(NodeId("b"), lambda secret: secret == "s", _handle)
         address = await listener.listen(Address("127.0.0.1:0"))
-        good = PeerLinks(lambda: _HELLO, 10.0)
-        assert await good.ask(address, _HELLO) == Accepted(7, NodeId("b"))
-        await trial(address)
-        assert await good.ask(address, _HELLO) == Accepted(7, NodeId("b"))
-        good.close()
+        other = PeerLinks(lambda: _HELLO, 10.0)
+        assert await other.request(address, _HELLO) == Accepted(7, NodeId("b"))
+        await scenario(address)
+        assert await other.request(address, _HELLO) == Accepted(7, NodeId("b"))
+        other.close()
         listener.close()
 
     run_in_loop(run)
 
 
-async def _send(address: Address, data: bytes) -> bytes:
+async def _send_bytes(address: Address, data: bytes) -> bytes:
     """Send bytes and return all that comes back."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -65,68 +67,68 @@
 @settings(max_examples=40, deadline=None)
 @given(st.binary(max_size=200), st.booleans())
 @example(b"\xff\xff\xff\xff", True)
-@example(_frame({"type": "hello"}), False)
-@example(_frame({"type": "of-a-later-version", "x": 1}), True)
-@example(_frame({"type": "of-a-later-version", "x": 1}), False)
-def test_bytes_that_are_no_message_end_their_connection_alone(
+@example(_encode_value({"type": "hello"}), False)
+@example(_encode_value({"type": "of-a-later-version", "x": 1}), True)
+@example(_encode_value({"type": "of-a-later-version", "x": 1}), False)
+def test_invalid_bytes_close_only_their_connection(
     data: bytes, after_hello: bool
 ) -> None:
-    async def trial(address: Address) -> None:
+    async def scenario(address: Address) -> None:
         hello = encode_frame(_HELLO) if after_hello else b""
-        answered = await _send(address, hello + data)
+        received = await _send_bytes(address, hello + data)
         accepted = encode_frame(Accepted(PROTOCOL_VERSION, NodeId("b")))
-        assert answered.startswith(accepted) == after_hello
+        assert received.startswith(accepted) == after_hello
 
-    _try(trial)
+    _run_with_listener(scenario)
 
 
-def test_each_peer_that_is_refused_is_told_and_logged() -> None:
+def test_refused_peer_gets_the_reason_and_is_logged() -> None:
     refused = {
         "secret": msgspec.structs.replace(_HELLO, secret="x"),
         "version": msgspec.structs.replace(_HELLO, protocol=0),
     }
 
-    async def trial(address: Address) -> None:
+    async def scenario(address: Address) -> None:
         for reason, hello in refused.items():
-            assert reason.encode() in await _send(address, encode_frame(hello))
+            assert reason.encode() in await _send_bytes(address, encode_frame(hello))
 
     with structlog.testing.capture_logs() as events:
-        _try(trial)
+        _run_with_listener(scenario)
     reasons = [e["reason"] for e in events if e["event"] == "peer-refused"]
     assert reasons == ["secret", "version"]
 
 
-def test_a_later_version_is_answered_with_the_one_both_speak() -> None:
-    async def trial(address: Address) -> None:
-        later = msgspec.structs.replace(_HELLO, protocol=PROTOCOL_VERSION + 5)
+def test_newer_peer_is_accepted_with_the_common_version() -> None:
+    async def scenario(address: Address) -> None:
+        newer = msgspec.structs.replace(_HELLO, protocol=PROTOCOL_VERSION + 5)
         expected = encode_frame(Accepted(PROTOCOL_VERSION, NodeId("b")))
-        assert await _send(address, encode_frame(later)) == expected
+        assert await _send_bytes(address, encode_frame(newer)) == expected
 
-    _try(trial)
+    _run_with_listener(scenario)
 
 
-def test_a_message_that_the_handler_fails_on_ends_its_connection_alone() -> None:
-    async def trial(address: Address) -> None:
+def test_handler_failure_closes_only_its_connection() -> None:
+    async def scenario(address: Address) -> None:
         links = PeerLinks(lambda: _HELLO, 10.0)
-        assert await links.ask(address, Accepted(1, NodeId("a"))) is None
-        assert await links.ask(address, _HELLO) is not None
+        assert await links.request(address, Accepted(1, NodeId("a"))) is None
+        assert await links.request(address, _HELLO) is not None
         links.close()
 
     with structlog.testing.capture_logs() as events:
-        _try(trial)
+        _run_with_listener(scenario)
     assert "peer-handler-failed" in [event["event"] for event in events]
 
 
-def test_whoever_has_not_shown_the_secret_cannot_send_much() -> None:
-    async def trial(address: Address) -> None:
+def test_first_message_is_limited_in_size() -> None:
+    async def scenario(address: Address) -> None:
         large = msgspec.structs.replace(_HELLO, node=NodeId("x" * 100_000))
-        assert await _send(address, encode_frame(large)) == b""
+        assert await _send_bytes(address, encode_frame(large)) == b""
 
-    _try(trial)
+    _run_with_listener(scenario)
 
 
 @given(st.binary(max_size=300))
-def test_a_frame_is_a_message_the_end_or_an_error(data: bytes) -> None:
+def test_read_frame_returns_a_message_the_end_or_an_error(data: bytes) -> None:
     async def read() -> None:
         reader = asyncio.StreamReader()
         reader.feed_data(data)
@@ -141,40 +143,40 @@
     asyncio.run(read())
 
 
-def test_notes_on_an_open_connection_arrive_in_order_and_whole() -> None:
-    """One that overtakes another would bring an older load back."""
+def test_messages_on_an_open_connection_arrive_complete_and_in_order() -> None:
+    """A message that arrives after a newer one restores an outdated load."""
 
     async def run() -> None:
-        heard: list[int] = []
-        whole = asyncio.Event()
+        received: list[int] = []
+        complete = asyncio.Event()
 
-        async def take(hello: Hello, message: Message) -> None:
+        async def handle(hello: Hello, message: Message) -> None:
             assert isinstance(message, Accepted)
-            heard.append(message.protocol)
-            if len(heard) == 2000:
-                whole.set()
+            received.append(message.protocol)
+            if len(received) == 2000:
+                complete.set()
 
-        listener = PeerListener(NodeId("b"), lambda _: True, take)
+        listener = PeerListener(NodeId("b"), lambda _: True, handle)
         address = await listener.listen(Address("127.0.0.1:0"))
         links = PeerLinks(lambda: _HELLO, 10.0)
         first = Accepted(0, NodeId("a"))
-        assert not links.post(address, encode_frame(first))
+        assert not links.send_nowait(address, encode_frame(first))
         assert await links.send(address, first)
         for number in range(1, 2000):
-            note = Accepted(number, NodeId("a"))
-            if not links.post(address, encode_frame(note)):
-                assert await links.send(address, note)
+            message = Accepted(number, NodeId("a"))
+            if not links.send_nowait(address, encode_frame(message)):
+                assert await links.send(address, message)
         async with asyncio.timeout(10.0):
-            await whole.wait()
-        assert heard == list(range(2000))
+            await complete.wait()
+        assert received == list(range(2000))
         links.close()
         listener.close()
 
     run_in_loop(run)
 
 
-def test_a_note_is_not_written_to_a_connection_that_has_closed() -> None:
-    """It would count as sent, and its peer would not be tried again."""
+def test_send_nowait_does_not_write_to_a_closed_connection() -> None:
+    """It would count as sent, and the sender would not try the peer again."""
 
     async def run() -> None:
         listener = PeerListener(NodeId("b"), lambda _: True, _handle)
@@ -182,7 +184,7 @@
         links = PeerLinks(lambda: _HELLO, 10.0)
         assert await links.send(address, Accepted(0, NodeId("a")))
         links.close()
-        assert not links.post(address, encode_frame(Accepted(1, NodeId("a"))))
+        assert not links.send_nowait(address, encode_frame(Accepted(1, NodeId("a"))))
         assert await links.send(address, Accepted(1, NodeId("a")))
         links.close()
         listener.close()
--- a/tests/test_store_budget.py
+++ b/tests/test_store_budget.py
@@ -1,4 +1,4 @@
-"""A process stays below its part of the store's calls."""
+"""Rate limit on the calls of one process to the store."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 from zinniaspool.store.client import StoreListing, StoreValue, WatchBatch
 
 
-class _Instant:
-    """Answers every call at once."""
+class _InstantStore:
+    """Store that responds to every call at once."""
 
     async def get(self, key: str) -> Result[StoreValue | None, StoreFault]:
         return Ok(None)
@@ -41,28 +41,28 @@
         return Ok(WatchBatch((), Revision(0)))
 
 
-def test_a_burst_of_calls_is_bounded_and_the_rest_refused_at_once() -> None:
-    """A process asks 500 times at once and may ask 10 times a second.
+def test_burst_is_bounded_and_excess_calls_are_refused_at_once() -> None:
+    """A process makes 500 calls at once with a limit of 10 calls a second.
 
-    Twenty go at once and twenty more within two seconds; all others are
-    told so immediately, and nothing was asked of the store for them.
+    Twenty calls go out at once and twenty more within two seconds. All
+    others are refused immediately, and none of them reaches the store.
     """
 
     async def burst() -> None:
-        store = BudgetedStore(_Instant(), 10.0)
-        answers = await asyncio.gather(*(store.get("key") for _ in range(500)))
-        refused = sum(isinstance(answer, Err) for answer in answers)
+        store = BudgetedStore(_InstantStore(), 10.0)
+        results = await asyncio.gather(*(store.get("key") for _ in range(500)))
+        refused = sum(isinstance(result, Err) for result in results)
         assert store.calls[CallKind.GET] == 500 - refused == 40
-        assert store.limited == refused
+        assert store.refused_calls == refused
 
     asyncio.run(burst())
 
 
-def test_a_lease_is_renewed_while_other_calls_wait() -> None:
-    """Other work has used up the calls; the lease must not lapse for it."""
+def test_lease_is_renewed_while_other_calls_wait() -> None:
+    """The lease must not expire because other calls used up the budget."""
 
     async def renew() -> None:
-        store = BudgetedStore(_Instant(), 10.0)
+        store = BudgetedStore(_InstantStore(), 10.0)
         waiting = [asyncio.create_task(store.get("key")) for _ in range(100)]
         await asyncio.sleep(0)
         renewing = asyncio.create_task(store.renew(LeaseId("lease")))
