--- a/src/zinniaspool/entry/main.py
+++ b/src/zinniaspool/entry/main.py
@@ -111,7 +111,7 @@
         tls = self._caller_tls
         server = HttpServer(
             self._callers.handle,
-            refuse=refuse_request,
+            make_refusal=refuse_request,
             tls=tls.server if tls else None,
         )
         self._frame.metrics.add_gauge(
--- a/src/zinniaspool/gateway/carrier.py
+++ b/src/zinniaspool/gateway/carrier.py
@@ -244,7 +244,7 @@
                     state.target.address,
                     self._make_request(call, state, left_s),
                     left_s + 1.0,
-                    most_idle_s=idle_s,
+                    max_idle_s=idle_s,
                 )
                 try:
                     response = await self._skip_foreign_answers(call, response)
@@ -298,7 +298,7 @@
                 request=call.terms.id,
                 echoed=answered_id,
             )
-            response = await response.skip()
+            response = await response.skip_to_next()
         raise TransportError(
             TransportFailure.MALFORMED, "too many answers to other requests"
         )
--- a/src/zinniaspool/gateway/main.py
+++ b/src/zinniaspool/gateway/main.py
@@ -166,7 +166,7 @@
         )
         self._index = TargetIndex(self._fleet_view, settings.failure_domain)
         self._subset = find_subset(settings.node, settings.failure_domain, {})
-        self._http = HttpClient(connect_s=CONNECT_TIMEOUT_S, unframed=True)
+        self._http = HttpClient(connect_s=CONNECT_TIMEOUT_S, allow_unframed=True)
         self._admission_queues = AdmissionQueues(self._index.measure_peer_load_age)
         self._rerouter = Rerouter(self._index)
         quarantine = Quarantine()
@@ -241,7 +241,9 @@
             self._report_unreachable,
         )
         self._lease = RenewedLease(self._store, NODE_LEASE_S)
-        self._server = HttpServer(self._caller_handler.handle, refuse=refuse_request)
+        self._server = HttpServer(
+            self._caller_handler.handle, make_refusal=refuse_request
+        )
         self._servers = [self._server]
         self._tasks: list[asyncio.Task[None]] = []
         self._fleet_view.on_catalog.append(self._apply_catalog)
@@ -437,7 +439,7 @@
             if self._fleet_view.has_ended(
                 state.target.instance, state.target.started_at_ms
             ):
-                self._http.forget(state.target.address)
+                self._http.close_idle_connections(state.target.address)
             self._rerouter.reroute_from(state)
 
     def _update_subset(self) -> None:
--- a/src/zinniaspool/gateway/metrics.py
+++ b/src/zinniaspool/gateway/metrics.py
@@ -40,7 +40,7 @@
             yield Sample({"model": model}, count)
 
     def list_opened() -> Iterator[Sample]:
-        yield Sample({}, http.opened)
+        yield Sample({}, http.opened_connections)
 
     page.count("zinniaspool_requests", "Requests by their end.", tally.list_ends)
     page.count(
--- a/src/zinniaspool/http/__init__.py
+++ b/src/zinniaspool/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over h11, both sides."""
+"""HTTP/1.1 client and server on asyncio, with h11 as parser."""
 
 from zinniaspool.http.client import ClientResponse, HttpClient
 from zinniaspool.http.connection import Handler
--- a/src/zinniaspool/http/client.py
+++ b/src/zinniaspool/http/client.py
@@ -1,4 +1,8 @@
-"""HTTP client: pooled connections, whole or visibly cut answers."""
+"""HTTP/1.1 client with a pool of connections.
+
+A caller of the client gets either the whole response or a
+:class:`TransportError`: a cut response never looks whole.
+"""
 
 import asyncio
 import ssl
@@ -18,22 +22,38 @@
 
 __all__ = ["ClientResponse", "HttpClient"]
 
-_MOST_BUFFERED_BYTES = 256 * 1024
-"""Bytes read ahead of a slow caller: one upstream's socket buffers."""
-_MOST_IDLE_PER_ADDRESS = 32
-"""Idle connections kept to one address; chosen."""
+_MAX_BUFFERED_BYTES = 256 * 1024
+"""Bytes of a body that are read before their reader takes them.
+
+A slow reader costs about this much memory. The size is that of one
+upstream's socket buffers.
+"""
+_MAX_IDLE_PER_ADDRESS = 32
+"""Idle connections that the pool keeps to one address."""
 _IDLE_S = 20.0
-"""Seconds that an idle connection is kept where the other side names no
-time."""
-_BODILESS = (204, 304)
+"""Longest idle time after which a connection is used again, in seconds.
+
+It is shorter if the other side sends a short timeout in its ``keep-alive``
+header.
+"""
+_BODILESS_STATUSES = (204, 304)
+"""Responses with these statuses have no body."""
 _BODILESS_METHODS = frozenset({"GET", "HEAD", "DELETE"})
-_IDLE_PART = 0.6
-"""Part of the time that the other side keeps an idle connection in which it is
-used again: a request must arrive well before the other side closes."""
+"""Requests with these methods need no ``content-length`` if they are empty."""
+_KEEP_ALIVE_PART = 0.6
+"""Part of the other side's keep-alive timeout that the pool makes use of.
+
+A request must arrive well before the other side closes the connection.
+"""
 
 
 class ClientResponse:
-    """An answer whose head has come and whose body is read as it comes."""
+    """A response whose head has arrived; its body is read as it arrives.
+
+    Attributes:
+        status: HTTP status.
+        headers: Header fields.
+    """
 
     def __init__(
         self, status: int, headers: Headers, connection: "_ClientConnection"
@@ -42,24 +62,24 @@
         self.headers = headers
         self._connection = connection
 
-    async def read(self, most_bytes: int = 16 * 1024 * 1024) -> bytes:
+    async def read(self, max_bytes: int = 16 * 1024 * 1024) -> bytes:
         """Return the whole body.
 
         Raises:
-            TransportError: The body was cut, or larger than ``most_bytes``.
+            TransportError: The body was cut, or larger than ``max_bytes``.
         """
         parts: list[bytes] = []
         size = 0
         while (data := await self.next_part()) is not None:
             parts.append(data)
             size += len(data)
-            if size > most_bytes:
+            if size > max_bytes:
                 self.abort()
                 raise TransportError(TransportFailure.MALFORMED, "body too large")
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     async def stream(self) -> AsyncIterator[bytes]:
-        """Yield what each read brought, ending only at the body's real end.
+        """Yield the body's parts as they arrive, up to its real end.
 
         Raises:
             TransportError: The body was cut.
@@ -68,40 +88,48 @@
             yield data
 
     async def next_part(self) -> bytes | None:
-        """Return what has come, waiting if nothing has; None at the end.
+        """Return the bytes received so far; None at the body's end.
+
+        Waits if no bytes have been received since the last call.
 
         Raises:
             TransportError: The body was cut.
         """
         return await self._connection.next_part()
 
-    async def skip(self) -> "ClientResponse":
-        """Throw this answer away and wait for the next one.
+    async def skip_to_next(self) -> "ClientResponse":
+        """Discard this response and wait for the next on the connection.
 
-        An upstream may send one answer too many. It comes where the next
-        request's answer is due, and that one comes after it.
+        An upstream may send one response too many. It arrives where the
+        response to the next request is due, and that response follows it.
 
         Raises:
-            TransportError: No further answer came.
+            TransportError: No further response arrived.
         """
-        return await self._connection.skip_answer()
+        return await self._connection.skip_response()
 
     def abort(self) -> None:
-        """Give the answer up and close its connection."""
+        """Close the connection without reading the rest of the response."""
         self._connection.abort()
 
 
 class HttpClient:
-    """Sends requests over connections that it keeps.
+    """Sends requests over pooled connections.
 
-    A connection goes back to the pool only after a whole answer; anything
-    else closes it, so that a late or crossed answer has nobody to reach.
+    A connection goes back to the pool only after a whole response. In all
+    other cases it is closed, so that a response that comes late, or belongs
+    to another request, reaches no caller.
 
     Args:
         connect_s: Longest wait for a connection.
-        tls: Wraps each connection where given.
-        unframed: Take answers without a length. Such an answer is whole where
-            the other side closes its connection in order; a reset cuts it.
+        tls: If given, each connection uses TLS with this context.
+        allow_unframed: Accept responses without a length. Such a response is
+            whole if the other side closes its connection in order; if the
+            connection is reset, the response is cut.
+
+    Attributes:
+        opened_connections: Number of attempts to open a connection so far.
+        allow_unframed: As above.
     """
 
     def __init__(
@@ -109,10 +137,10 @@
         connect_s: float = 1.0,
         tls: ssl.SSLContext | None = None,
         *,
-        unframed: bool = False,
+        allow_unframed: bool = False,
     ) -> None:
-        self.opened = 0
-        self.unframed = unframed
+        self.opened_connections = 0
+        self.allow_unframed = allow_unframed
         self._connect_s = connect_s
         self._tls = tls
         self._idle: dict[Address, deque[_ClientConnection]] = {}
@@ -124,25 +152,25 @@
         timeout_s: float,
         *,
         fresh: bool = False,
-        most_idle_s: float = _IDLE_S,
+        max_idle_s: float = _IDLE_S,
     ) -> ClientResponse:
-        """Send a request and wait for the answer's head.
+        """Send a request and wait for the response's head.
 
         Args:
-            address: Where to.
-            request: What.
+            address: Address of the other side.
+            request: The request.
             timeout_s: Longest wait for the head.
-            fresh: Use a new connection. A kept one may be closed by the
-                other side as the request leaves, and then nobody can tell
-                whether it ran.
-            most_idle_s: Longest time that a kept connection may have been
-                idle, to make that unlikely.
+            fresh: Use a new connection. The other side may close a pooled
+                connection while the request is sent, and then the client
+                can't tell whether the request ran.
+            max_idle_s: Longest time that a pooled connection may have been
+                idle, to make such a close unlikely.
 
         Raises:
-            TransportError: No head came; its failure says whether any byte
-                had left.
+            TransportError: No head arrived; its failure tells whether any
+                byte of the request was sent.
         """
-        connection = None if fresh else self._take(address, most_idle_s)
+        connection = None if fresh else self._take_idle(address, max_idle_s)
         if connection is None:
             connection = await self._connect(address)
         loop = asyncio.get_running_loop()
@@ -158,10 +186,10 @@
     async def fetch(
         self, address: Address, request: Request, timeout_s: float
     ) -> tuple[int, bytes]:
-        """Return an answer's status and whole body.
+        """Send a request and return the response's status and whole body.
 
         Raises:
-            TransportError: The answer did not come whole in time.
+            TransportError: The whole response did not arrive in time.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -175,43 +203,46 @@
             raise TransportError(TransportFailure.TIMED_OUT) from None
 
     def close(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         for connections in self._idle.values():
             for connection in connections:
                 connection.abort()
         self._idle.clear()
 
-    def forget(self, address: Address) -> None:
-        """Close the idle connections to an address: another process has it.
+    def close_idle_connections(self, address: Address) -> None:
+        """Close the idle connections to an address.
 
-        One that is kept from before looks open until it is used, and what is
-        sent on it may then have run or not, for all that anybody can tell.
+        Needed when another process has taken over the address: a connection
+        to the former process looks open until it is used, and the client
+        then can't tell whether the request that it sent there ran.
         """
         for connection in self._idle.pop(address, ()):
             connection.abort()
 
-    def keep(self, connection: "_ClientConnection") -> None:
-        """Take back a connection whose answer came whole."""
+    def return_connection(self, connection: "_ClientConnection") -> None:
+        """Put a connection back into the pool after a whole response."""
         idle = self._idle.setdefault(connection.address, deque())
-        if len(idle) >= _MOST_IDLE_PER_ADDRESS:
+        if len(idle) >= _MAX_IDLE_PER_ADDRESS:
             connection.abort()
             return
         connection.idle_since = asyncio.get_running_loop().time()
         idle.append(connection)
 
-    def drop(self, connection: "_ClientConnection") -> None:
-        """Forget a connection that has closed."""
+    def remove_connection(self, connection: "_ClientConnection") -> None:
+        """Remove a closed connection from the pool."""
         idle = self._idle.get(connection.address)
         if idle is not None and connection in idle:
             idle.remove(connection)
 
-    def _take(self, address: Address, most_idle_s: float) -> "_ClientConnection | None":
+    def _take_idle(
+        self, address: Address, max_idle_s: float
+    ) -> "_ClientConnection | None":
         idle = self._idle.get(address)
         now = asyncio.get_running_loop().time()
         while idle:
             connection = idle.pop()
             idle_s = now - connection.idle_since
-            if connection.open and idle_s < min(most_idle_s, connection.most_idle_s):
+            if connection.open and idle_s < min(max_idle_s, connection.max_idle_s):
                 return connection
             connection.abort()
         return None
@@ -219,7 +250,7 @@
     async def _connect(self, address: Address) -> "_ClientConnection":
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
-        self.opened += 1
+        self.opened_connections += 1
         try:
             async with asyncio.timeout(self._connect_s):
                 _, protocol = await loop.create_connection(
@@ -235,22 +266,32 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One connection to another side: h11's state, one request at a time."""
+    """One connection to an address, with one request at a time.
+
+    h11 parses and frames the messages; this class reads, writes and
+    buffers.
+
+    Attributes:
+        address: Address of the other side.
+        idle_since: When the last whole response ended, by the loop's clock.
+        max_idle_s: Longest idle time after which the connection is used
+            again; the last response's ``keep-alive`` header may shorten it.
+    """
 
     def __init__(self, client: HttpClient, address: Address) -> None:
         self.address = address
         self.idle_since = 0.0
-        self.most_idle_s = _IDLE_S
+        self.max_idle_s = _IDLE_S
         self._request: Request | None = None
         self._client = client
         self._h11 = h11.Connection(h11.CLIENT)
         self._transport: asyncio.Transport | None = None
         self._head: asyncio.Future[h11.Response] | None = None
-        self._parts: list[bytes | bytearray] = []
+        self._body_parts: list[bytes | bytearray] = []
         self._buffered = 0
         self._ended = False
         self._failure: TransportError | None = None
-        self._arrived: asyncio.Future[None] | None = None
+        self._wakeup: asyncio.Future[None] | None = None
         self._in_exchange = False
         self._bodiless = False
 
@@ -258,14 +299,15 @@
     def open(self) -> bool:
         return self._transport is not None and not self._transport.is_closing()
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
         if not self._in_exchange:
-            # Bytes that nobody asked for: a late or crossed answer.
+            # No request is in progress, so this response comes late or
+            # belongs to another request.
             self.abort()
             return
         try:
@@ -288,12 +330,12 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._client.drop(self)
+        self._client.remove_connection(self)
         if self._in_exchange and not self._ended:
             self._fail(TransportError(TransportFailure.CUT, str(exc or "closed")))
         self._wake()
 
-    # What the client and the response call.
+    # Used by the client and by the response.
 
     async def exchange(self, request: Request) -> ClientResponse:
         if self._transport is None:
@@ -303,18 +345,19 @@
         self._request = request
         self._bodiless = request.method == "HEAD"
         self._head = asyncio.get_running_loop().create_future()
-        self._transport.write(self._frame(request))
+        self._transport.write(self._encode_request(request))
         return await self._wait_for_head()
 
-    async def skip_answer(self) -> ClientResponse:
+    async def skip_response(self) -> ClientResponse:
         while await self._next_data() is not None:
             pass
         if self._transport is None or self._request is None:
             raise TransportError(TransportFailure.CUT, "closed after an extra answer")
         rest = self._h11.trailing_data[0]
-        # h11 takes one answer a request: to it, the request is sent anew.
+        # h11 accepts one response for each request, so a new h11 connection
+        # is given the request again; it isn't sent a second time.
         self._h11 = h11.Connection(h11.CLIENT)
-        self._frame(self._request)
+        self._encode_request(self._request)
         self._ended = False
         self._head = asyncio.get_running_loop().create_future()
         self.data_received(rest)
@@ -323,27 +366,27 @@
     async def _wait_for_head(self) -> ClientResponse:
         assert self._head is not None
         head = await self._head
-        headers = Headers.received(head.headers.raw_items())
-        self.most_idle_s = _read_keep_alive(headers)
+        headers = Headers.from_raw(head.headers.raw_items())
+        self.max_idle_s = _read_keep_alive(headers)
         return ClientResponse(head.status_code, headers, self)
 
     async def next_part(self) -> bytes | None:
         data = await self._next_data()
         if data is None:
-            self._release()
+            self._end_exchange()
         return data
 
     async def _next_data(self) -> bytes | None:
-        while not self._parts:
+        while not self._body_parts:
             if self._failure is not None:
                 raise self._failure
             if self._ended:
                 return None
-            self._arrived = asyncio.get_running_loop().create_future()
-            await self._arrived
-        data = b"".join(self._parts)
-        self._parts.clear()
-        if self._buffered > _MOST_BUFFERED_BYTES and self._transport is not None:
+            self._wakeup = asyncio.get_running_loop().create_future()
+            await self._wakeup
+        data = b"".join(self._body_parts)
+        self._body_parts.clear()
+        if self._buffered > _MAX_BUFFERED_BYTES and self._transport is not None:
             self._transport.resume_reading()
         self._buffered = 0
         return data
@@ -357,7 +400,7 @@
 
     # Sending and reading.
 
-    def _frame(self, request: Request) -> bytes:
+    def _encode_request(self, request: Request) -> bytes:
         fields = list(request.headers.raw())
         if request.headers.get("host") is None:
             fields.insert(0, (b"host", self.address.encode()))
@@ -377,7 +420,7 @@
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.Response):
-                self._take_head(event)
+                self._on_head(event)
             elif isinstance(event, h11.Data):
                 self._add_part(event.data)
             elif isinstance(event, h11.EndOfMessage):
@@ -386,36 +429,36 @@
             elif isinstance(event, h11.ConnectionClosed):
                 return
 
-    def _take_head(self, head: h11.Response) -> None:
+    def _on_head(self, head: h11.Response) -> None:
         assert self._head is not None
-        framed = self._client.unframed or _has_length(head)
+        framed = self._client.allow_unframed or _has_length(head)
         if not self._bodiless and not framed:
-            # Such an answer ends with its connection, so that a cut one
-            # looks whole.
+            # Such a response ends where its connection ends, so that a cut
+            # one would look whole.
             self._fail(TransportError(TransportFailure.MALFORMED, "no length"))
         if not self._head.done():
             self._head.set_result(head)
 
     def _add_part(self, data: bytes | bytearray) -> None:
-        self._parts.append(data)
+        self._body_parts.append(data)
         self._buffered += len(data)
-        if self._buffered > _MOST_BUFFERED_BYTES and self._transport is not None:
-            # Bounds the memory that a slow caller costs: the upstream is
-            # not read further until the caller has taken what is here.
+        if self._buffered > _MAX_BUFFERED_BYTES and self._transport is not None:
+            # Bounds the memory for a slow reader: nothing more is read from
+            # the upstream until the reader has taken the buffered bytes.
             self._transport.pause_reading()
 
-    def _release(self) -> None:
+    def _end_exchange(self) -> None:
         self._in_exchange = False
         if self._h11.our_state is not h11.DONE or self._h11.their_state is not h11.DONE:
             self.abort()
             return
         if self._h11.trailing_data[0]:
-            # More bytes than the answer's length: not a clean end.
+            # More bytes arrived than the response holds: no clean end.
             self.abort()
             return
         self._h11.start_next_cycle()
         if self.open:
-            self._client.keep(self)
+            self._client.return_connection(self)
 
     def _fail(self, error: TransportError) -> None:
         self._failure = self._failure or error
@@ -424,13 +467,13 @@
         self.abort()
 
     def _wake(self) -> None:
-        if self._arrived is not None and not self._arrived.done():
-            self._arrived.set_result(None)
+        if self._wakeup is not None and not self._wakeup.done():
+            self._wakeup.set_result(None)
 
 
 def _has_length(head: h11.Response) -> bool:
-    """Tell whether an answer's end can be told from a cut."""
-    if head.status_code in _BODILESS:
+    """Return whether a cut of this response could be told from its end."""
+    if head.status_code in _BODILESS_STATUSES:
         return True
     names = {name for name, _ in head.headers}
     return len(names & {b"content-length", b"transfer-encoding"}) == 1
@@ -438,11 +481,11 @@
 
 def _read_keep_alive(headers: Headers) -> float:
     """Return how long a connection may be idle before it is used again."""
-    told = headers.get("keep-alive")
-    if told is None:
+    keep_alive = headers.get("keep-alive")
+    if keep_alive is None:
         return _IDLE_S
-    for part in told.split(","):
+    for part in keep_alive.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdecimal():
-            return min(_IDLE_S, int(value) * _IDLE_PART)
+            return min(_IDLE_S, int(value) * _KEEP_ALIVE_PART)
     return _IDLE_S
--- a/src/zinniaspool/http/connection.py
+++ b/src/zinniaspool/http/connection.py
@@ -1,4 +1,9 @@
-"""The server's side of one connection: h11's state, a request at a time."""
+"""The server's side of one HTTP connection.
+
+h11 parses and frames the messages. A connection receives one request at a
+time, runs the server's handler for it, and enforces the server's limits on
+sizes and times.
+"""
 
 import asyncio
 import contextlib
@@ -13,7 +18,7 @@
 from zinniaspool.http.limits import (
     Refusal,
     RefusalKind,
-    RefuseRequest,
+    RefusalMaker,
     ServerLimits,
 )
 from zinniaspool.http.messages import Headers, Request, TransportError, TransportFailure
@@ -23,13 +28,15 @@
 _log = structlog.get_logger(__name__)
 
 _STATUS_HEADERS_TOO_LARGE = 431
-"""HTTP status."""
-_VERSION = b"1.1"
-_FIELD_OVERHEAD = 4
-"""Bytes of a header field beside name and value."""
-_ENDED = (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
+"""HTTP status that h11 suggests for too many bytes of headers."""
+_HTTP_VERSION = b"1.1"
+_FIELD_OVERHEAD_BYTES = 4
+"""Bytes of a header field besides its name and value."""
+_RESPONSE_ENDED = (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
+"""States of h11 after the whole response has been sent."""
 
 Handler = Callable[[Exchange], Awaitable[None]]
+"""Answers one request."""
 
 
 class _Phase(Enum):
@@ -40,27 +47,34 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of its server."""
+    """The server, as its connections use it.
+
+    Attributes:
+        handler: Answers each request.
+        limits: Limits on each connection and on all together.
+        make_refusal: Makes the server's own responses.
+        draining: Whether connections close after their current response.
+    """
 
     handler: Handler
     limits: ServerLimits
-    refuse: RefuseRequest
+    make_refusal: RefusalMaker
     draining: bool
 
     def admit(self, connection: "ServerConnection") -> bool:
-        """Count a new connection; False when there are too many."""
+        """Count a new connection; return False if too many are open."""
         ...
 
-    def forget(self, connection: "ServerConnection") -> None:
-        """Take a closed connection out of the count."""
+    def remove_connection(self, connection: "ServerConnection") -> None:
+        """Remove a closed connection from the count."""
         ...
 
     def reserve(self, size: int) -> bool:
-        """Count bytes of a body; False when there is no room for them."""
+        """Reserve memory for a body's bytes; return False without room."""
         ...
 
     def release(self, size: int) -> None:
-        """Give room back."""
+        """Release reserved memory."""
         ...
 
 
@@ -69,10 +83,15 @@
 
     Args:
         owner: The server.
+
+    Attributes:
+        response_started: Whether any part of the response to the current
+            request has been sent.
+        peer: The caller's address; empty if it is unknown.
     """
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        self.answering = False
+        self.response_started = False
         self.peer = ""
         self._owner = owner
         self._h11 = h11.Connection(
@@ -83,20 +102,20 @@
         self._task: asyncio.Task[None] | None = None
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
-        self._due = 0.0
-        self._act: Callable[[], None] | None = None
+        self._timer_due = 0.0
+        self._on_timer: Callable[[], None] | None = None
         self._head: h11.Request | None = None
         self._fields = Headers()
-        self._body: list[bytes | bytearray] = []
+        self._body_parts: list[bytes | bytearray] = []
         self._reserved = 0
-        self._ahead = 0
+        self._read_ahead = 0
         self._writable = asyncio.Event()
         self._writable.set()
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin, unless the server has too many connections."""
+        """Start the idle timer; abort if too many connections are open."""
         self._transport = cast(asyncio.Transport, transport)
         name = self._transport.get_extra_info("peername")
         self.peer = f"{name[0]}:{name[1]}" if name else ""
@@ -106,55 +125,56 @@
         self._start_timer(self._owner.limits.idle_s, self._close)
 
     def data_received(self, data: bytes) -> None:
-        """Take what a read brought."""
+        """Parse received bytes, or buffer them while a handler runs."""
         if self._phase is _Phase.CLOSING:
             return
         self._h11.receive_data(data)
         if self._phase is _Phase.HANDLING:
-            self._bound_ahead(len(data))
+            self._limit_read_ahead(len(data))
             return
         if self._phase is _Phase.IDLE:
             self._begin_receiving()
         self._read_events()
 
     def eof_received(self) -> bool:
-        """Close: a caller that has closed its side is taken to be gone."""
-        # The handler is cancelled, so that no upstream works for nobody.
+        """Close: a caller that has closed its side is taken to have left."""
+        # The handler is cancelled, so that no upstream works on a response
+        # that no caller reads.
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the handler and give back all that was held."""
+        """Cancel the handler and release the connection's memory."""
         if self._timer is not None:
             self._timer.cancel()
-        self._act = None
+        self._on_timer = None
         self._writable.set()
         self._transport = None
         self._phase = _Phase.CLOSING
-        self._release()
-        self._owner.forget(self)
+        self._release_body()
+        self._owner.remove_connection(self)
         if self._task is not None:
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the caller reads more slowly than we write."""
+        """Make writers wait: the caller reads more slowly than they write."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Note that there is room again."""
+        """Let writers go on: the transport's buffer has room again."""
         self._writable.set()
 
-    # What an exchange calls.
+    # Used by an exchange.
 
     @property
-    def leaving(self) -> bool:
-        """Whether the connection closes after this answer."""
+    def closes_after_response(self) -> bool:
+        """Whether the connection closes after this response."""
         return self._owner.draining
 
-    def send_all(self, *events: h11.Event | None) -> None:
+    def send_events(self, *events: h11.Event | None) -> None:
         """Send events as one write."""
         if self._transport is None or self._transport.is_closing():
             raise TransportError(TransportFailure.CUT, "the caller is gone")
-        self.answering = True
+        self.response_started = True
         parts: list[bytes] = []
         for event in events:
             if event is not None:
@@ -173,8 +193,8 @@
             async with asyncio.timeout(self._owner.limits.send_s):
                 await self._writable.wait()
         except TimeoutError:
-            # A caller that never reads would hold its upstream's slot and
-            # this process's memory for as long as it likes.
+            # A caller that never reads would occupy its upstream's slot and
+            # this process's memory without limit.
             self.abort()
             raise TransportError(
                 TransportFailure.TIMED_OUT, "the caller does not read"
@@ -185,7 +205,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    # What the server calls.
+    # Used by the server.
 
     @property
     def busy(self) -> bool:
@@ -200,21 +220,21 @@
     # Receiving.
 
     def _begin_receiving(self) -> None:
-        # One timer from the first byte to the last: were it started anew by
-        # each read, a caller could hold a connection for ever with a byte
-        # now and then.
+        # One timer covers the request from its first byte to its last. If
+        # each read restarted it, a caller could occupy a connection for ever
+        # by sending a byte now and then.
         self._phase = _Phase.RECEIVING
         self._start_timer(self._owner.limits.receive_s, self._refuse_slow)
 
-    def _bound_ahead(self, size: int) -> None:
-        """Stop reading once enough of the next requests is here.
+    def _limit_read_ahead(self, size: int) -> None:
+        """Pause reading once enough bytes of further requests are buffered.
 
-        Reading goes on up to there, because only a read tells that the
+        Up to that limit reading goes on, because only a read shows that the
         caller has left and that the upstream may stop.
         """
-        self._ahead += size
+        self._read_ahead += size
         if (
-            self._ahead > self._owner.limits.header_bytes
+            self._read_ahead > self._owner.limits.header_bytes
             and self._transport is not None
         ):
             self._transport.pause_reading()
@@ -225,34 +245,34 @@
                 event = self._h11.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
-                self._take_event(event)
+                self._on_event(event)
         except h11.RemoteProtocolError as error:
             too_large = error.error_status_hint == _STATUS_HEADERS_TOO_LARGE
             kind = RefusalKind.HEADERS_TOO_LARGE if too_large else RefusalKind.MALFORMED
             self._refuse(kind, str(error))
 
-    def _take_event(self, event: object) -> None:
+    def _on_event(self, event: object) -> None:
         if isinstance(event, h11.Request):
-            self._take_head(event)
+            self._on_head(event)
         elif isinstance(event, h11.Data):
-            self._take_data(event.data)
+            self._on_data(event.data)
         elif isinstance(event, h11.EndOfMessage):
             self._start_handler()
         elif isinstance(event, h11.ConnectionClosed):
             self._close()
 
-    def _take_head(self, head: h11.Request) -> None:
+    def _on_head(self, head: h11.Request) -> None:
         self._head = head
-        self._fields = Headers.received(head.headers.raw_items())
-        refused = _find_fault(head, self._fields, self._owner.limits)
-        if refused is not None:
-            self._refuse(*refused)
+        self._fields = Headers.from_raw(head.headers.raw_items())
+        refusal = _check_head(head, self._fields, self._owner.limits)
+        if refusal is not None:
+            self._refuse(*refusal)
             return
         if self._h11.they_are_waiting_for_100_continue:
-            self.send_all(h11.InformationalResponse(status_code=100, headers=[]))
-            self.answering = False
+            self.send_events(h11.InformationalResponse(status_code=100, headers=[]))
+            self.response_started = False
 
-    def _take_data(self, data: bytes | bytearray) -> None:
+    def _on_data(self, data: bytes | bytearray) -> None:
         if self._reserved + len(data) > self._owner.limits.body_bytes:
             self._refuse(RefusalKind.BODY_TOO_LARGE, "")
             return
@@ -260,55 +280,56 @@
             self._refuse(RefusalKind.BUSY, "")
             return
         self._reserved += len(data)
-        self._body.append(data)
+        self._body_parts.append(data)
 
-    # Answering.
+    # Running the handler.
 
     def _start_handler(self) -> None:
         head = self._head
         assert head is not None
         self._stop_timer()
         self._phase = _Phase.HANDLING
-        self.answering = False
-        self._ahead = 0
-        self._bound_ahead(len(self._h11.trailing_data[0]))
+        self.response_started = False
+        self._read_ahead = 0
+        self._limit_read_ahead(len(self._h11.trailing_data[0]))
         request = Request(
             head.method.decode("ascii"),
             head.target.decode("latin-1"),
             self._fields,
-            b"".join(self._body),
+            b"".join(self._body_parts),
         )
-        self._body.clear()
+        self._body_parts.clear()
         self._task = self._loop.create_task(self._run_handler(Exchange(request, self)))
 
     async def _run_handler(self, exchange: Exchange) -> None:
         try:
             await self._owner.handler(exchange)
-            # Answers that nobody reads must not pile up: the next request
-            # of this connection waits until this answer has left.
+            # Responses that the caller doesn't read must not accumulate: the
+            # next request of this connection waits until the transport's
+            # buffer has room again.
             await self.wait_writable()
         except TransportError:
             pass
         except Exception:
-            # A fault in one request must not end the process, which holds
-            # the other callers' requests.
+            # A fault in one request must not end the process, which also
+            # serves the other callers' requests.
             _log.exception("handler-failed")
-            self._answer_failure()
+            self._send_failure()
         finally:
             self._end_exchange()
 
-    def _answer_failure(self) -> None:
-        if not self.answering:
-            self._send_refusal(self._owner.refuse(RefusalKind.FAILED, ""))
+    def _send_failure(self) -> None:
+        if not self.response_started:
+            self._send_refusal(self._owner.make_refusal(RefusalKind.FAILED, ""))
 
     def _end_exchange(self) -> None:
         self._task = None
         self._head = None
-        self._release()
+        self._release_body()
         if self._transport is None or self._transport.is_closing():
             return
-        if self._h11.our_state not in _ENDED:
-            # The answer is cut: a clean end would make it look whole.
+        if self._h11.our_state not in _RESPONSE_ENDED:
+            # The response is cut: a clean end would make it look whole.
             self._transport.abort()
             return
         if self._h11.our_state is not h11.DONE or self._owner.draining:
@@ -330,10 +351,10 @@
         self._begin_receiving()
         self._read_events()
 
-    def _release(self) -> None:
+    def _release_body(self) -> None:
         self._owner.release(self._reserved)
         self._reserved = 0
-        self._body.clear()
+        self._body_parts.clear()
 
     # Refusing and closing.
 
@@ -342,8 +363,8 @@
 
     def _refuse(self, kind: RefusalKind, detail: str) -> None:
         _log.info("request-refused", kind=kind.value, peer=self.peer)
-        self._send_refusal(self._owner.refuse(kind, detail))
-        self._release()
+        self._send_refusal(self._owner.make_refusal(kind, detail))
+        self._release_body()
         self._linger()
 
     def _send_refusal(self, refusal: Refusal) -> None:
@@ -354,17 +375,18 @@
         ]
         bodiless = self._head is not None and self._head.method == b"HEAD"
         with contextlib.suppress(h11.LocalProtocolError, TransportError):
-            self.send_all(
+            self.send_events(
                 h11.Response(status_code=refusal.status, headers=fields),
                 None if bodiless else h11.Data(data=refusal.body),
                 h11.EndOfMessage(),
             )
 
     def _linger(self) -> None:
-        """Throw away the rest of a refused request, then close.
+        """Discard the rest of a refused request, then close.
 
-        A connection that is closed with unread bytes is reset, and a reset
-        can overtake the answer: the caller would not learn why.
+        If a connection is closed with unread bytes, it is reset, and the
+        reset can overtake the response: the caller would not learn why its
+        request was refused.
         """
         if self._transport is None:
             return
@@ -381,48 +403,50 @@
             self._transport.close()
             self._start_timer(self._owner.limits.send_s, self.abort)
 
-    def _start_timer(self, seconds: float, act: Callable[[], None]) -> None:
-        self._due = self._loop.time() + seconds
-        self._act = act
+    def _start_timer(self, seconds: float, on_timer: Callable[[], None]) -> None:
+        self._timer_due = self._loop.time() + seconds
+        self._on_timer = on_timer
         if self._timer is None:
-            self._timer = self._loop.call_at(self._due, self._check_timer)
-        elif self._timer.when() > self._due:
+            self._timer = self._loop.call_at(self._timer_due, self._check_timer)
+        elif self._timer.when() > self._timer_due:
             self._timer.cancel()
-            self._timer = self._loop.call_at(self._due, self._check_timer)
+            self._timer = self._loop.call_at(self._timer_due, self._check_timer)
 
     def _stop_timer(self) -> None:
-        # The loop's timer stays as it is: one that is set and cancelled for
-        # each request costs more than one that finds nothing due.
-        self._act = None
+        # The loop's timer stays set: to set and cancel one for each request
+        # costs more than a timer that expires with nothing to do.
+        self._on_timer = None
 
     def _check_timer(self) -> None:
         self._timer = None
-        if self._act is None:
+        if self._on_timer is None:
             return
-        if self._loop.time() < self._due:
-            self._timer = self._loop.call_at(self._due, self._check_timer)
+        if self._loop.time() < self._timer_due:
+            self._timer = self._loop.call_at(self._timer_due, self._check_timer)
             return
-        self._act()
+        self._on_timer()
 
 
-def _find_fault(
+def _check_head(
     head: h11.Request, fields: Headers, limits: ServerLimits
 ) -> tuple[RefusalKind, str] | None:
-    """Return why a head is refused, or None."""
-    if head.http_version != _VERSION:
-        # Older callers could not tell a cut stream from a whole one.
+    """Return why a request is refused by its head, or None."""
+    if head.http_version != _HTTP_VERSION:
+        # Callers with an older version can't tell a cut stream from a whole
+        # one.
         return RefusalKind.MALFORMED, "HTTP/1.1 is needed"
     size = len(head.method) + len(head.target)
     for name, value in fields.raw():
-        size += len(name) + len(value) + _FIELD_OVERHEAD
+        size += len(name) + len(value) + _FIELD_OVERHEAD_BYTES
     if size > limits.header_bytes:
         return RefusalKind.HEADERS_TOO_LARGE, ""
     length = fields.get("content-length")
     if length is None:
         return None
     if fields.get("transfer-encoding") is not None:
-        # Two framings: another HTTP process on the way may have believed
-        # the other one, and taken part of this request for the next.
+        # The two headers may disagree on the request's end. Another HTTP
+        # process on the way may have used the other header, and would take
+        # part of this request for the next one.
         return RefusalKind.MALFORMED, "content-length beside transfer-encoding"
     if int(length) > limits.body_bytes:
         return RefusalKind.BODY_TOO_LARGE, ""
--- a/src/zinniaspool/http/exchange.py
+++ b/src/zinniaspool/http/exchange.py
@@ -1,4 +1,4 @@
-"""One request and the means to answer it."""
+"""One request, as its handler receives and answers it."""
 
 from typing import Protocol
 
@@ -13,17 +13,22 @@
 
 
 class Channel(Protocol):
-    """The connection of an exchange, as the exchange uses it."""
+    """The connection of an exchange, as the exchange uses it.
 
-    answering: bool
+    Attributes:
+        response_started: Whether any part of the response has been sent.
+        peer: The caller's address.
+    """
+
+    response_started: bool
     peer: str
 
     @property
-    def leaving(self) -> bool:
-        """Whether the connection closes after this answer."""
+    def closes_after_response(self) -> bool:
+        """Whether the connection closes after this response."""
         ...
 
-    def send_all(self, *events: h11.Event | None) -> None:
+    def send_events(self, *events: h11.Event | None) -> None:
         """Send events as one write.
 
         Raises:
@@ -45,12 +50,15 @@
 
 
 class Exchange:
-    """One request and the means to answer it.
+    """One request, as its handler receives and answers it.
 
     A handler answers either with :meth:`respond`, or with :meth:`start`,
-    any number of :meth:`write` and :meth:`finish`. A handler that returns
-    without finishing has its connection cut, so that the other side can
-    tell a cut answer from a whole one.
+    any number of calls of :meth:`write`, and :meth:`finish`. If a handler
+    returns without the end of its response, the connection is aborted, so
+    that the caller can tell a cut response from a whole one.
+
+    Attributes:
+        request: The request.
     """
 
     def __init__(self, request: Request, channel: Channel) -> None:
@@ -60,34 +68,34 @@
 
     @property
     def started(self) -> bool:
-        """Whether any part of the answer has left."""
-        return self._channel.answering
+        """Whether any part of the response has been sent."""
+        return self._channel.response_started
 
     @property
     def peer(self) -> str:
-        """The other side's address."""
+        """The caller's address."""
         return self._channel.peer
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer.
+        """Send a whole response.
 
         Raises:
             TransportError: The connection ended.
         """
         length = (b"content-length", str(len(body)).encode())
-        self._channel.send_all(
+        self._channel.send_events(
             self._make_head(status, headers, length),
             h11.Data(data=body) if body and not self._bodiless else None,
             h11.EndOfMessage(),
         )
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of a chunked answer.
+        """Send the head of a chunked response.
 
         Raises:
             TransportError: The connection ended.
         """
-        self._channel.send_all(self._make_head(status, headers, _CHUNKED))
+        self._channel.send_events(self._make_head(status, headers, _CHUNKED))
 
     async def write(self, data: bytes) -> None:
         """Send part of the body, waiting while the caller reads slowly.
@@ -97,16 +105,16 @@
         """
         if not data or self._bodiless:
             return
-        self._channel.send_all(h11.Data(data=data))
+        self._channel.send_events(h11.Data(data=data))
         await self._channel.wait_writable()
 
     async def finish(self) -> None:
-        """End a chunked answer.
+        """End a chunked response.
 
         Raises:
             TransportError: The connection ended.
         """
-        self._channel.send_all(h11.EndOfMessage())
+        self._channel.send_events(h11.EndOfMessage())
 
     def abort(self) -> None:
         """Cut the connection at once."""
@@ -116,6 +124,6 @@
         self, status: int, headers: Headers, framing: tuple[bytes, bytes]
     ) -> h11.Response:
         fields = [*headers.raw(), framing]
-        if self._channel.leaving:
+        if self._channel.closes_after_response:
             fields.append(_CLOSE)
         return h11.Response(status_code=status, headers=fields)
--- a/src/zinniaspool/http/limits.py
+++ b/src/zinniaspool/http/limits.py
@@ -1,4 +1,4 @@
-"""What a server lets one connection do, and what it says otherwise."""
+"""Limits of an HTTP server, and its responses to requests beyond them."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,58 +9,66 @@
 __all__ = [
     "Refusal",
     "RefusalKind",
-    "RefuseRequest",
+    "RefusalMaker",
     "ServerLimits",
-    "refuse_plainly",
+    "make_plain_refusal",
 ]
 
 
 class RefusalKind(Enum):
-    """Why the server itself answers a request."""
+    """Why the server refuses a request without its handler's response."""
 
     MALFORMED = "malformed"
     HEADERS_TOO_LARGE = "headers-too-large"
     BODY_TOO_LARGE = "body-too-large"
     SLOW = "slow"
     BUSY = "busy"
-    """The bodies that are being received fill the memory kept for them."""
+    """The bodies being received fill the memory reserved for them."""
 
     FAILED = "failed"
-    """The handler failed: alone of these, the request may have run."""
+    """The handler failed. Only with this kind, the request may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The server's own answer."""
+    """The response to a refused request.
+
+    Attributes:
+        status: HTTP status.
+        headers: Header fields, without the length.
+        body: The whole body.
+    """
 
     status: int
     headers: Headers
     body: bytes
 
 
-class RefuseRequest(Protocol):
-    """Makes the server's own answers."""
+class RefusalMaker(Protocol):
+    """Makes the responses to refused requests."""
 
     def __call__(self, kind: RefusalKind, detail: str) -> Refusal:
-        """Return the answer."""
+        """Return the response for a kind of refusal and its detail."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """What callers may ask of the server.
+    """Limits on connections and requests, and the server's timeouts.
 
     Attributes:
-        header_bytes: Largest request line and headers together; also how
-            much of further requests is read while one is being answered.
-        body_bytes: Largest body.
-        buffered_bytes: All bodies together.
+        header_bytes: Largest size of the request line and headers together.
+            About as much of further requests is read while a request is
+            being answered.
+        body_bytes: Largest size of a body.
+        buffered_bytes: Largest size of all buffered bodies together.
         receive_s: Longest time from a request's first byte to its last.
-        send_s: Longest time that a caller leaves a full buffer unread.
-        idle_s: Longest time between requests.
-        linger_s: How long the rest of a refused request is read and thrown
-            away, so that the answer reaches its sender.
-        connections: Most connections open at a time.
+        send_s: Longest time that a response waits for a caller that does not
+            read.
+        idle_s: Longest time that a connection is open without a request.
+        linger_s: How long the rest of a refused request is read and
+            discarded, so that the response reaches its sender.
+        connections: Largest number of connections open at a time.
     """
 
     header_bytes: int = 16 * 1024
@@ -83,7 +91,7 @@
 }
 
 
-def refuse_plainly(kind: RefusalKind, detail: str) -> Refusal:
-    """Return an answer that names the kind alone."""
+def make_plain_refusal(kind: RefusalKind, detail: str) -> Refusal:
+    """Return a response whose body is only the kind's name."""
     headers = Headers.of(content_type="text/plain")
     return Refusal(_STATUS[kind], headers, kind.value.encode())
--- a/src/zinniaspool/http/messages.py
+++ b/src/zinniaspool/http/messages.py
@@ -1,4 +1,4 @@
-"""The parts of an HTTP message that both sides share."""
+"""Headers, requests and errors that the client and the server share."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -10,41 +10,41 @@
 
 
 class Headers:
-    """Header fields in the order of the wire, found by lower-case name."""
+    """Header fields in the order of the message, with lower-case names."""
 
-    __slots__ = ("_fields", "_found")
+    __slots__ = ("_fields", "_by_name")
 
     def __init__(self, fields: Iterable[tuple[bytes, bytes]] = ()) -> None:
         self._fields = list(fields)
-        self._found: dict[bytes, bytes] | None = None
+        self._by_name: dict[bytes, bytes] | None = None
 
     @classmethod
     def of(cls, **fields: str) -> Self:
         """Make headers from keywords; ``_`` in a name stands for ``-``."""
-        return cls([(_spell_name(k), v.encode("latin-1")) for k, v in fields.items()])
+        return cls([(_encode_name(k), v.encode("latin-1")) for k, v in fields.items()])
 
     @classmethod
-    def received(cls, fields: Iterable[tuple[bytes, bytes]]) -> Self:
+    def from_raw(cls, fields: Iterable[tuple[bytes, bytes]]) -> Self:
         """Make headers from the raw items of an h11 event."""
-        # Iterating over h11's own sequence of them in lower case costs
+        # To iterate over h11's own sequence with lower-case names costs
         # several times as much.
         return cls([(name.lower(), value) for name, value in fields])
 
     def get(self, name: str) -> str | None:
         """Return the first value of a lower-case name, or None."""
-        if self._found is None:
-            self._found = dict(reversed(self._fields))
-        value = self._found.get(name.encode())
+        if self._by_name is None:
+            self._by_name = dict(reversed(self._fields))
+        value = self._by_name.get(name.encode())
         return None if value is None else value.decode("latin-1")
 
     def add(self, name: str, value: str) -> Self:
         """Add one field and return these headers."""
         self._fields.append((name.encode(), value.encode("latin-1")))
-        self._found = None
+        self._by_name = None
         return self
 
     def raw(self) -> list[tuple[bytes, bytes]]:
-        """Return the fields as h11 takes them."""
+        """Return the fields in the form that h11 accepts."""
         return self._fields
 
 
@@ -56,7 +56,7 @@
         method: In upper case.
         target: Path and query as sent.
         headers: With lower-case names.
-        body: All of it, already held to the size limit.
+        body: The whole body; the server has checked its size.
     """
 
     method: str
@@ -71,26 +71,29 @@
 
 
 class TransportFailure(Enum):
-    """How an exchange with another side failed."""
+    """How an exchange of a request and its response failed."""
 
     NOT_SENT = "not-sent"
-    """No byte of the request left: the other side cannot have run it."""
+    """No byte of the request was sent, so the other side can't have run it."""
 
     CUT = "cut"
-    """Bytes left, and the connection ended before the answer did."""
+    """Bytes were sent, and the connection ended before the response did."""
 
     TIMED_OUT = "timed-out"
-    """Bytes left, and the answer did not come in time."""
+    """Bytes were sent, and the response did not arrive in time."""
 
     MALFORMED = "malformed"
-    """The other side broke HTTP."""
+    """The other side violated HTTP, or the client rejects its response."""
 
 
 class TransportError(Exception):
-    """An exchange ended without its whole answer.
+    """An exchange ended without its whole response.
 
-    Raised inside the HTTP shell only; its users turn it into a result with
-    an error kind.
+    This package raises it; the packages that use it turn it into a result
+    with an error kind.
+
+    Attributes:
+        failure: How the exchange failed.
     """
 
     def __init__(self, failure: TransportFailure, detail: str = "") -> None:
@@ -99,5 +102,5 @@
 
 
 @lru_cache(maxsize=256)
-def _spell_name(keyword: str) -> bytes:
+def _encode_name(keyword: str) -> bytes:
     return keyword.replace("_", "-").encode()
--- a/src/zinniaspool/http/server.py
+++ b/src/zinniaspool/http/server.py
@@ -1,4 +1,7 @@
-"""HTTP server: listens, counts connections, drains."""
+"""HTTP/1.1 server: accepts and counts connections, and drains them.
+
+:mod:`zinniaspool.http.connection` handles the single connection.
+"""
 
 import asyncio
 import contextlib
@@ -10,13 +13,13 @@
 
 from zinniaspool.core.ids import Address, split_address
 from zinniaspool.http.connection import Handler, ServerConnection
-from zinniaspool.http.limits import RefuseRequest, ServerLimits, refuse_plainly
+from zinniaspool.http.limits import RefusalMaker, ServerLimits, make_plain_refusal
 
 __all__ = ["HttpServer"]
 
 _log = structlog.get_logger(__name__)
 _BACKLOG = 1024
-"""Connections that wait to be accepted: a burst of callers."""
+"""Connections that may wait to be accepted: enough for a burst of callers."""
 
 
 class HttpServer:
@@ -24,26 +27,30 @@
 
     Args:
         handler: Answers one request. It is cancelled when the caller's
-            connection ends before the answer does.
-        limits: What a connection may ask.
-        refuse: Makes the answers to requests that break the limits.
-        tls: Wraps each connection where given.
+            connection ends before the response does.
+        limits: Limits on each connection and on all together.
+        make_refusal: Makes the responses to refused requests.
+        tls: If given, each connection uses TLS with this context.
+
+    Attributes:
+        draining: Whether the server is stopping. Connections then close
+            after their current response.
     """
 
     def __init__(
         self,
         handler: Handler,
         limits: ServerLimits | None = None,
-        refuse: RefuseRequest = refuse_plainly,
+        make_refusal: RefusalMaker = make_plain_refusal,
         tls: ssl.SSLContext | None = None,
     ) -> None:
         self.handler = handler
         self.limits = limits or ServerLimits()
-        self.refuse = refuse
+        self.make_refusal = make_refusal
         self.draining = False
         self._tls = tls
         self._buffered = 0
-        self._full = False
+        self._refusing = False
         self._connections: set[ServerConnection] = set()
         self._all_closed = asyncio.Event()
         self._all_closed.set()
@@ -51,17 +58,17 @@
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     async def listen(
         self, address: Address, listener: socket.socket | None = None
     ) -> Address:
-        """Start listening and return the address, its port filled in.
+        """Start listening and return the address with its actual port.
 
         Args:
-            address: Where.
-            listener: A socket that listens there already.
+            address: Host and port; port 0 selects a free one.
+            listener: A socket that already listens there.
 
         Raises:
             OSError: The address cannot be used.
@@ -83,13 +90,13 @@
         return Address(f"{address.rpartition(':')[0]}:{bound[1]}")
 
     async def drain(self, timeout_s: float) -> int:
-        """Stop accepting, let requests in progress end, close the rest.
+        """Stop accepting, let requests in progress end, and close the rest.
 
-        A request counts as in progress from its first byte on.
+        A request is in progress from its first byte on.
 
         Returns:
-            The number of requests that were cut because they outlasted
-            ``timeout_s``.
+            The number of requests that were cut because they took longer
+            than ``timeout_s``.
         """
         self.draining = True
         if self._server is not None:
@@ -104,33 +111,33 @@
             connection.abort()
         return cut
 
-    # What a connection calls.
+    # Used by a connection.
 
     def admit(self, connection: ServerConnection) -> bool:
-        """Count a new connection; False when there are too many."""
+        """Count a new connection; return False if too many are open."""
         if len(self._connections) >= self.limits.connections:
-            if not self._full:
+            if not self._refusing:
                 _log.warning("connection-refused", open=len(self._connections))
-            self._full = True
+            self._refusing = True
             return False
-        self._full = False
+        self._refusing = False
         self._connections.add(connection)
         self._all_closed.clear()
         return True
 
-    def forget(self, connection: ServerConnection) -> None:
-        """Take a closed connection out of the count."""
+    def remove_connection(self, connection: ServerConnection) -> None:
+        """Remove a closed connection from the count."""
         self._connections.discard(connection)
         if not self._connections:
             self._all_closed.set()
 
     def reserve(self, size: int) -> bool:
-        """Count bytes of a body; False when there is no room for them."""
+        """Reserve memory for a body's bytes; return False without room."""
         if self._buffered + size > self.limits.buffered_bytes:
             return False
         self._buffered += size
         return True
 
     def release(self, size: int) -> None:
-        """Give room back."""
+        """Release reserved memory."""
         self._buffered -= size
--- a/src/zinniaspool/http/sides.py
+++ b/src/zinniaspool/http/sides.py
@@ -1,4 +1,4 @@
-"""Keeps a caller's failure apart from an upstream's."""
+"""Tells a failure of the caller's connection from one of the upstream's."""
 
 from types import TracebackType
 
@@ -8,7 +8,11 @@
 
 
 class CallerGoneError(Exception):
-    """The caller's side failed, which is no failure of the upstream."""
+    """The caller's connection failed; the upstream is not at fault.
+
+    Attributes:
+        cause: The error of the caller's connection.
+    """
 
     def __init__(self, cause: TransportError) -> None:
         super().__init__(str(cause))
@@ -16,10 +20,12 @@
 
 
 class _CallerSide:
-    """Marks what fails while something is sent to a caller.
+    """Turns a :class:`TransportError` into a :class:`CallerGoneError`.
 
-    Both sides raise the same error. Taken for a lost upstream, a caller that
-    has gone would have its request sent to another one, for nobody.
+    It wraps statements that send to a caller. The connections to callers and
+    to upstreams raise the same error. If a caller's departure were treated
+    as an unreachable upstream, the request would be sent to another
+    upstream, although no caller waits for the response.
     """
 
     def __enter__(self) -> None:
@@ -36,3 +42,4 @@
 
 
 CALLER_SIDE = _CallerSide()
+"""Context manager for statements that send to a caller."""
--- a/tests/test_http_bounds.py
+++ b/tests/test_http_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on what passing an answer on costs, as counted work."""
+"""Bounds on the work of passing a response on, in calls and writes."""
 
 import asyncio
 import cProfile
@@ -16,7 +16,7 @@
 pytestmark = pytest.mark.bounds
 
 _REQUESTS = 100
-_MOST_CALLS_OVER_H11 = 0.25
+_MAX_CALLS_OVER_H11 = 0.25
 _EVENT = b"id: 1\ndata: token\n\n"
 
 
@@ -25,7 +25,7 @@
 
 
 def test_one_read_of_a_stream_is_passed_on_as_one_write() -> None:
-    """Work grows with reads and not with tokens.
+    """Work grows with the number of reads, not of tokens.
 
     The upstream sends sixteen events in one write; they must reach the
     caller's connection as one write, not as sixteen.
@@ -65,11 +65,11 @@
     assert writes["relay"] <= reads
 
 
-def test_our_calls_stay_few_beside_those_of_h11() -> None:
-    """Calls of Python functions a request, which no load of a machine alters.
+def test_calls_of_this_project_stay_few_beside_those_of_h11() -> None:
+    """Counts calls of Python functions, which the machine's load can't alter.
 
-    Both sides of a relayed request are counted, ours and h11's; the bound is
-    on their ratio.
+    The calls of client and server together are counted, for this project
+    and for h11; the bound is on the ratio of the two counts.
     """
 
     async def trial() -> None:
@@ -87,17 +87,17 @@
 
     profiler = cProfile.Profile()
     profiler.runcall(run_in_loop, trial)
-    ours = theirs = 0
+    project_calls = h11_calls = 0
     for (file, _, _), row in pstats.Stats(profiler).stats.items():  # type: ignore[attr-defined]
-        ours += row[1] if "zinniaspool" in file else 0
-        theirs += row[1] if "h11" in file else 0
-    assert ours / theirs < _MOST_CALLS_OVER_H11, (ours, theirs)
+        project_calls += row[1] if "zinniaspool" in file else 0
+        h11_calls += row[1] if "h11" in file else 0
+    assert project_calls / h11_calls < _MAX_CALLS_OVER_H11, (project_calls, h11_calls)
 
 
 def test_a_connection_sets_no_timer_for_each_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A timer set and cancelled for each request fills the loop's heap."""
+    """A timer that is set for each request would fill the loop's heap."""
     checks: Counter[str] = Counter()
     set_timer = asyncio.BaseEventLoop.call_at
 
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client against upstreams that answer late, short or too much."""
+"""The HTTP client against late, cut, malformed and surplus responses."""
 
 import asyncio
 import contextlib
@@ -21,10 +21,10 @@
 _CHUNKED = _HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
 
 
-class _Scripted:
+class _ScriptedUpstream:
     """An upstream that answers each request with the next bytes of a list.
 
-    ``None`` closes the connection instead.
+    For ``None`` it closes the connection instead.
     """
 
     def __init__(self, *answers: bytes | None) -> None:
@@ -53,17 +53,17 @@
 
 
 @contextlib.asynccontextmanager
-async def _upstream(scripted: _Scripted) -> AsyncIterator[Address]:
+async def _serve(scripted: _ScriptedUpstream) -> AsyncIterator[Address]:
     server = await asyncio.start_server(scripted.serve, "127.0.0.1", 0)
     yield Address(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
     server.close()
 
 
-def _try(
-    scripted: _Scripted, trial: Callable[[HttpClient, Address], Awaitable[None]]
+def _run_trial(
+    scripted: _ScriptedUpstream, trial: Callable[[HttpClient, Address], Awaitable[None]]
 ) -> None:
     async def run() -> None:
-        async with _upstream(scripted) as address:
+        async with _serve(scripted) as address:
             client = HttpClient()
             try:
                 await trial(client, address)
@@ -78,13 +78,13 @@
 
 
 def test_a_connection_is_kept_after_a_clean_end() -> None:
-    scripted = _Scripted(_OK, _CHUNKED + b"2\r\nok\r\n0\r\n\r\n", _OK)
+    scripted = _ScriptedUpstream(_OK, _CHUNKED + b"2\r\nok\r\n0\r\n\r\n", _OK)
 
     async def trial(client: HttpClient, address: Address) -> None:
         assert [await _get(client, address) for _ in range(3)] == [b"ok"] * 3
         assert scripted.connections == 1
 
-    _try(scripted, trial)
+    _run_trial(scripted, trial)
 
 
 @pytest.mark.parametrize(
@@ -95,33 +95,33 @@
         _OK.replace(b"Content", b"Connection: close\r\nContent"),
     ],
 )
-def test_a_connection_with_more_bytes_than_the_answer_is_not_used_again(
+def test_a_connection_with_more_bytes_than_the_response_is_not_reused(
     first: bytes,
 ) -> None:
-    """The second caller gets its own answer, not the rest of the first's."""
-    scripted = _Scripted(first, _OK)
+    """The second caller gets its own response, not the rest of the first."""
+    scripted = _ScriptedUpstream(first, _OK)
 
     async def trial(client: HttpClient, address: Address) -> None:
         assert await _get(client, address) == b"ok"
         assert await _get(client, address) == b"ok"
         assert scripted.connections == 2
 
-    _try(scripted, trial)
+    _run_trial(scripted, trial)
 
 
-def test_bytes_that_nobody_asked_for_close_an_idle_connection() -> None:
-    """An answer that arrives between two requests reaches neither caller."""
-    scripted = _Scripted(_OK, _OK)
+def test_unrequested_bytes_close_an_idle_connection() -> None:
+    """A response that arrives between two requests reaches neither caller."""
+    scripted = _ScriptedUpstream(_OK, _OK)
 
     async def trial(client: HttpClient, address: Address) -> None:
         assert await _get(client, address) == b"ok"
         scripted.writers[0].write(_OK.replace(b"ok", b"no"))
-        while client._idle[address]:  # noqa: ASYNC110 - nothing tells of it
+        while client._idle[address]:  # noqa: ASYNC110 - no event is set for it
             await asyncio.sleep(0.01)
         assert await _get(client, address) == b"ok"
         assert scripted.connections == 2
 
-    _try(scripted, trial)
+    _run_trial(scripted, trial)
 
 
 @pytest.mark.parametrize(
@@ -140,36 +140,36 @@
         (b"SSH-2.0\r\n\r\n", TransportFailure.MALFORMED),
     ],
 )
-def test_an_answer_that_is_cut_or_unsound_is_no_answer(
+def test_a_cut_or_malformed_response_raises_an_error(
     answer: bytes | None, failure: TransportFailure
 ) -> None:
-    """An answer without a length would end wherever its connection does."""
-    scripted = _Scripted(answer)
+    """A response without a length would look whole wherever it is cut."""
+    scripted = _ScriptedUpstream(answer)
 
     async def trial(client: HttpClient, address: Address) -> None:
-        asking = asyncio.create_task(_get(client, address))
+        fetch = asyncio.create_task(_get(client, address))
         await scripted.answered.wait()
         for writer in scripted.writers:
             writer.write_eof()
         with pytest.raises(TransportError) as caught:
-            await asking
+            await fetch
         assert caught.value.failure is failure
 
-    _try(scripted, trial)
+    _run_trial(scripted, trial)
 
 
-def test_informational_answers_are_passed_over() -> None:
+def test_informational_responses_are_skipped() -> None:
     early = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-    scripted = _Scripted(early + early + _OK)
+    scripted = _ScriptedUpstream(early + early + _OK)
 
     async def trial(client: HttpClient, address: Address) -> None:
         assert await _get(client, address) == b"ok"
 
-    _try(scripted, trial)
+    _run_trial(scripted, trial)
 
 
-def test_an_answer_to_head_ends_with_its_head() -> None:
-    scripted = _Scripted(_HEAD + b"Content-Length: 5\r\n\r\n", _OK)
+def test_a_response_to_head_ends_with_its_head() -> None:
+    scripted = _ScriptedUpstream(_HEAD + b"Content-Length: 5\r\n\r\n", _OK)
 
     async def trial(client: HttpClient, address: Address) -> None:
         head = await client.fetch(address, Request("HEAD", "/"), 5.0)
@@ -177,36 +177,36 @@
         assert await _get(client, address) == b"ok"
         assert scripted.connections == 1
 
-    _try(scripted, trial)
+    _run_trial(scripted, trial)
 
 
-def test_a_request_that_found_nobody_was_not_sent() -> None:
+def test_a_request_to_a_closed_port_is_not_sent() -> None:
     async def trial(client: HttpClient, address: Address) -> None:
-        nobody = Address("127.0.0.1:1")
+        closed_port = Address("127.0.0.1:1")
         with pytest.raises(TransportError) as caught:
-            await client.send(nobody, Request("GET", "/"), 5.0)
+            await client.send(closed_port, Request("GET", "/"), 5.0)
         assert caught.value.failure is TransportFailure.NOT_SENT
 
-    _try(_Scripted(), trial)
+    _run_trial(_ScriptedUpstream(), trial)
 
 
-def test_an_unread_answer_stops_the_upstream_and_is_whole_when_read() -> None:
-    """A slow caller costs bounded memory here, whatever the upstream sends."""
+def test_an_unread_response_pauses_reading_and_is_whole_when_read() -> None:
+    """A slow caller costs bounded memory, whatever the upstream sends."""
     size = 32 * 1024 * 1024
     body = b"x" * size
-    scripted = _Scripted(_HEAD + b"Content-Length: %d\r\n\r\n" % size + body)
+    scripted = _ScriptedUpstream(_HEAD + b"Content-Length: %d\r\n\r\n" % size + body)
 
     async def trial(client: HttpClient, address: Address) -> None:
         response = await client.send(address, Request("GET", "/"), 5.0)
         connection = response._connection
         transport = connection._transport
         assert transport is not None
-        while transport.is_reading():  # noqa: ASYNC110 - nothing tells of it
+        while transport.is_reading():  # noqa: ASYNC110 - no event is set for it
             await asyncio.sleep(0.01)
         assert connection._buffered < 1024 * 1024
         assert await response.read(size) == body
 
-    _try(scripted, trial)
+    _run_trial(scripted, trial)
 
 
 @settings(max_examples=60, deadline=None)
@@ -221,22 +221,22 @@
 )
 @example(_OK + b"\r\n")
 @example(_CHUNKED + b"2\r\nok\r\n0\r\n")
-def test_any_bytes_are_a_whole_answer_or_an_error(answer: bytes) -> None:
-    """Nothing hangs, and what counts as whole has an end in the bytes."""
-    scripted = _Scripted(answer)
+def test_any_bytes_are_a_whole_response_or_an_error(answer: bytes) -> None:
+    """No fetch hangs, and a response taken as whole ends within its bytes."""
+    scripted = _ScriptedUpstream(answer)
 
     async def trial(client: HttpClient, address: Address) -> None:
-        asking = asyncio.create_task(_get(client, address))
+        fetch = asyncio.create_task(_get(client, address))
         await scripted.answered.wait()
         for writer in scripted.writers:
             if not writer.is_closing():
                 writer.write_eof()
         try:
-            body = await asking
+            body = await fetch
         except TransportError:
             return
         chunked = b"0\r\n\r\n" in answer
         assert chunked or b"ontent-" in answer or answer[9:12] in (b"204", b"304")
         assert body in answer or chunked
 
-    _try(scripted, trial)
+    _run_trial(scripted, trial)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server against callers that break rules, dawdle or leave."""
+"""The HTTP server against callers that break rules, are slow or leave."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class _Trial:
-    """A server, what its handler saw, and connections to it."""
+    """A server, the state of its handler, and connections to it."""
 
     server: HttpServer
     address: Address
@@ -55,12 +55,12 @@
 
 
 async def _wait_until(check: Callable[[], bool]) -> None:
-    while not check():  # noqa: ASYNC110 - nothing tells of it
+    while not check():  # noqa: ASYNC110 - no event is set for it
         await asyncio.sleep(0.01)
 
 
-async def _read_answer(reader: asyncio.StreamReader) -> bytes:
-    """Return one answer that has a content-length, head and body."""
+async def _read_response(reader: asyncio.StreamReader) -> bytes:
+    """Return the head and body of a response with a content-length."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
     return head + await reader.readexactly(length)
@@ -98,7 +98,7 @@
     await server.drain(0.0)
 
 
-def _try(
+def _run_trial(
     trial: Callable[[_Trial], Awaitable[None]], limits: ServerLimits | None = None
 ) -> None:
     async def run() -> None:
@@ -129,7 +129,7 @@
 def test_a_request_that_breaks_a_rule_is_answered_and_closed(
     sent: bytes, status: int
 ) -> None:
-    """No handler sees it, and a caller beside it is answered as ever."""
+    """No handler receives it, and another caller is still served."""
 
     async def trial(served: _Trial) -> None:
         received = await served.send(sent)
@@ -138,17 +138,17 @@
         assert served.seen == []
         reader, writer = await served.connect()
         writer.write(_POST)
-        assert (await _read_answer(reader)).endswith(b"abc")
+        assert (await _read_response(reader)).endswith(b"abc")
         writer.close()
 
-    _try(trial, ServerLimits(body_bytes=0x10000, idle_s=0.3, linger_s=0.3))
+    _run_trial(trial, ServerLimits(body_bytes=0x10000, idle_s=0.3, linger_s=0.3))
 
 
 def test_the_refusal_of_a_large_body_reaches_its_sender() -> None:
     """The sender is still writing when it is refused.
 
-    Were the connection closed at once, its unread bytes would have it reset,
-    and the reset would throw the answer away on the sender's side.
+    If the connection were closed at once with unread bytes, it would be
+    reset, and the reset would discard the response on the sender's side.
     """
 
     async def trial(served: _Trial) -> None:
@@ -157,10 +157,10 @@
         received = await served.send(head, *[b"x" * 65536] * 64)
         assert received.startswith(b"HTTP/1.1 413 ")
 
-    _try(trial)
+    _run_trial(trial)
 
 
-def test_bodies_together_stay_within_the_memory_kept_for_them() -> None:
+def test_all_bodies_together_stay_within_their_memory_limit() -> None:
     async def trial(served: _Trial) -> None:
         head = b"POST /hold HTTP/1.1\r\nHost: x\r\nContent-Length: 600\r\n\r\n"
         reader, writer = await served.connect()
@@ -168,19 +168,19 @@
         await served.began.wait()
         assert (await served.send(head + b"x" * 600)).startswith(b"HTTP/1.1 503 ")
         served.held.set()
-        assert (await _read_answer(reader)).endswith(b"x" * 600)
+        assert (await _read_response(reader)).endswith(b"x" * 600)
         writer.write(head + b"y" * 600)
-        assert (await _read_answer(reader)).endswith(b"y" * 600)
+        assert (await _read_response(reader)).endswith(b"y" * 600)
         writer.close()
 
-    _try(trial, ServerLimits(buffered_bytes=1000, linger_s=0.3))
+    _run_trial(trial, ServerLimits(buffered_bytes=1000, linger_s=0.3))
 
 
 @pytest.mark.parametrize("head", [b"GET / HTTP/1.1\r\nA: b", _POST[:-3]])
-def test_a_sender_that_dribbles_is_refused_in_time(head: bytes) -> None:
-    """A byte now and then buys no more time than a whole request has.
+def test_a_sender_of_single_bytes_is_refused_in_time(head: bytes) -> None:
+    """A byte now and then does not extend the time for a whole request.
 
-    The sender goes on until it is answered; it would take three seconds.
+    The sender continues until it is answered, for up to three seconds.
     """
 
     async def trial(served: _Trial) -> None:
@@ -196,7 +196,7 @@
         assert (await answer).startswith(b"HTTP/1.1 408 ")
         writer.close()
 
-    _try(trial, ServerLimits(receive_s=0.2, idle_s=60, linger_s=0.2))
+    _run_trial(trial, ServerLimits(receive_s=0.2, idle_s=60, linger_s=0.2))
 
 
 def test_a_caller_that_leaves_has_its_handler_cancelled() -> None:
@@ -207,36 +207,36 @@
         writer.close()
         await served.cancelled.wait()
 
-    _try(trial)
+    _run_trial(trial)
 
 
 def test_pipelined_requests_are_answered_in_order_and_bounded() -> None:
-    """Of what is sent while an answer is due only so much is read.
+    """While a request is being answered, only so many bytes are read.
 
-    The rest waits in the sockets' buffers until the answer has left.
+    The rest waits in the sockets' buffers until the response has been sent.
     """
 
     async def trial(served: _Trial) -> None:
         reader, writer = await served.connect()
         writer.write(b"GET /hold HTTP/1.1\r\nHost: x\r\n\r\n" + _GET)
         await served.began.wait()
-        many = 200_000
-        writer.write(_GET * many)
+        request_count = 200_000
+        writer.write(_GET * request_count)
         (connection,) = served.server._connections
         transport = connection._transport
         assert transport is not None
         await _wait_until(lambda: not transport.is_reading())
         assert len(connection._h11.trailing_data[0]) < 1024 * 1024
         served.held.set()
-        assert (await _read_answer(reader)).endswith(b"/hold")
+        assert (await _read_response(reader)).endswith(b"/hold")
         for _ in range(200):
-            assert (await _read_answer(reader)).endswith(b"/a")
+            assert (await _read_response(reader)).endswith(b"/a")
         writer.transport.abort()
 
-    _try(trial)
+    _run_trial(trial)
 
 
-def test_answers_that_nobody_reads_stop_the_next_requests() -> None:
+def test_unread_responses_delay_the_next_requests() -> None:
     async def trial(served: _Trial) -> None:
         _, writer = await served.connect()
         writer.write(large_request * 20)
@@ -246,10 +246,10 @@
         writer.transport.abort()
 
     large_request = b"GET /a HTTP/1.1\r\nHost: x\r\nX-Size: 4000000\r\n\r\n"
-    _try(trial, ServerLimits(send_s=0.2))
+    _run_trial(trial, ServerLimits(send_s=0.2))
 
 
-def test_a_stream_that_nobody_reads_is_cut_in_time() -> None:
+def test_an_unread_stream_is_cut_in_time() -> None:
     async def trial(served: _Trial) -> None:
         _, writer = await served.connect()  # The reader's buffer is bounded.
         writer.write(b"GET /stream HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -257,11 +257,14 @@
         await _wait_until(lambda: not served.server.connections)
         writer.transport.abort()
 
-    _try(trial, ServerLimits(send_s=0.2))
+    _run_trial(trial, ServerLimits(send_s=0.2))
 
 
 class _Transport(asyncio.Transport):
-    """Keeps what is written, as a transport whose sockets are full does."""
+    """Sends nothing, like a transport whose socket buffers are full.
+
+    Records its calls.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -280,11 +283,11 @@
         return bool({"close", "abort"} & set(self.calls))
 
 
-def test_an_answer_is_flushed_though_the_caller_asked_to_close() -> None:
-    """The answer's end is still in the buffer when its handler returns.
+def test_a_response_is_flushed_though_the_caller_requested_a_close() -> None:
+    """The response's end is still in the buffer when its handler returns.
 
-    The connection must close behind it; an abort would drop it, and the
-    caller would see a cut answer.
+    The connection must close after it is sent; an abort would discard it,
+    and the caller would get a cut response.
     """
 
     async def trial(served: _Trial) -> None:
@@ -296,10 +299,10 @@
         assert transport.calls == ["write", "close"]
         connection.connection_lost(None)
 
-    _try(trial)
+    _run_trial(trial)
 
 
-def test_a_handler_that_fails_is_answered_and_one_that_stops_is_cut() -> None:
+def test_a_failed_handler_gets_a_refusal_and_an_unfinished_response_is_cut() -> None:
     async def trial(served: _Trial) -> None:
         raised = await served.send(b"GET /raise HTTP/1.1\r\nHost: x\r\n\r\n")
         assert raised.startswith(b"HTTP/1.1 500 ")
@@ -307,51 +310,51 @@
         assert b"part" in cut
         assert not cut.endswith(b"0\r\n\r\n")
 
-    _try(trial)
+    _run_trial(trial)
 
 
-def test_a_caller_that_waits_for_100_is_told_to_go_on() -> None:
+def test_a_caller_that_expects_100_continue_receives_it() -> None:
     async def trial(served: _Trial) -> None:
         reader, writer = await served.connect()
         head, body = _POST[:-7], _POST[-3:]
         writer.write(head + b"\r\nExpect: 100-continue\r\n\r\n")
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
         writer.write(body)
-        assert (await _read_answer(reader)).endswith(b"abc")
+        assert (await _read_response(reader)).endswith(b"abc")
         writer.close()
 
-    _try(trial)
+    _run_trial(trial)
 
 
-def test_an_answer_to_head_has_no_body() -> None:
+def test_a_response_to_head_has_no_body() -> None:
     async def trial(served: _Trial) -> None:
         received = await served.send(b"HEAD /a HTTP/1.1\r\nHost: x\r\n\r\n" + _GET)
         first, second = received.split(b"\r\n\r\n", 1)
         assert b"content-length: 2" in first.lower()
         assert second.startswith(b"HTTP/1.1 200 ")
 
-    _try(trial)
+    _run_trial(trial)
 
 
 def test_too_many_connections_are_closed_at_once() -> None:
     async def trial(served: _Trial) -> None:
         reader, writer = await served.connect()
         writer.write(_GET)
-        await _read_answer(reader)
+        await _read_response(reader)
         assert await served.send(_GET) == b""
         writer.write(_GET)
-        assert (await _read_answer(reader)).endswith(b"/a")
+        assert (await _read_response(reader)).endswith(b"/a")
         writer.close()
 
-    _try(trial, ServerLimits(connections=1))
+    _run_trial(trial, ServerLimits(connections=1))
 
 
-def test_a_drain_ends_what_has_begun_and_closes_what_is_idle() -> None:
+def test_a_drain_finishes_begun_requests_and_closes_idle_connections() -> None:
     """A planned stop cuts no request.
 
     One connection is idle, one request is being answered, one has arrived
-    in part: the first closes at once, the others get their whole answers,
-    which say that their connections close, and nothing new is accepted.
+    in part. The first connection closes at once. Both requests get whole
+    responses with ``connection: close``, and no new connection is accepted.
     """
 
     async def trial(served: _Trial) -> None:
@@ -361,7 +364,9 @@
         slow.write(_POST[:20])
         await served.began.wait()
         connections = served.server._connections
-        await _wait_until(lambda: sum(one.busy for one in connections) == 2)
+        await _wait_until(
+            lambda: sum(connection.busy for connection in connections) == 2
+        )
         draining = asyncio.create_task(served.server.drain(20.0))
         assert await idle.read() == b""
         slow.write(_POST[20:])
@@ -375,7 +380,7 @@
         with pytest.raises(ConnectionError):
             await served.connect()
 
-    _try(trial)
+    _run_trial(trial)
 
 
 _BYTES = st.one_of(
@@ -388,10 +393,12 @@
 @given(st.lists(st.one_of(_BYTES, st.sampled_from([_GET, _POST])), max_size=5))
 @example([_POST, _POST, b"GET"])
 @example([_GET[:-2], b"\r\n" * 4])
-def test_any_bytes_get_sound_answers_and_harm_nobody(parts: list[bytes]) -> None:
-    """Whatever is sent, the answers parse and other callers are served.
+def test_any_bytes_get_valid_responses_and_affect_no_other_caller(
+    parts: list[bytes],
+) -> None:
+    """Whatever is sent, the responses parse and other callers are served.
 
-    No handler sees a request that the bytes do not hold.
+    No handler receives a request that the bytes do not contain.
     """
 
     async def trial(served: _Trial) -> None:
@@ -407,7 +414,7 @@
         assert len(served.seen) <= whole.count(b"HTTP/1.1")
         reader, writer = await served.connect()
         writer.write(_POST)
-        assert (await _read_answer(reader)).endswith(b"abc")
+        assert (await _read_response(reader)).endswith(b"abc")
         writer.close()
 
-    _try(trial, ServerLimits(idle_s=0.03, receive_s=0.03, linger_s=0.03))
+    _run_trial(trial, ServerLimits(idle_s=0.03, receive_s=0.03, linger_s=0.03))
