--- a/src/zinniaspool/control/domain.py
+++ b/src/zinniaspool/control/domain.py
@@ -37,7 +37,7 @@
 from zinniaspool.core.ids import Address, FabricDomainId, NodeId, VmId
 from zinniaspool.core.membership import Topic
 from zinniaspool.core.plans import EngineReport, Order
-from zinniaspool.node import NodeFrame
+from zinniaspool.node import NodeRuntime
 from zinniaspool.settings import ControlSettings
 
 __all__ = ["DomainController"]
@@ -99,7 +99,7 @@
     def __init__(
         self,
         domain: FabricDomainId,
-        frame: NodeFrame,
+        frame: NodeRuntime,
         settings: ControlSettings,
         fleet: FleetTable,
         ranks: ControlRanks,
@@ -318,7 +318,7 @@
         plan, last = self.holder.plan, self._published
         last.plan_epoch, last.plan_at = plan.epoch, self._now
         self._fleet.update_plan(plan)
-        self._frame.board.publish(
+        self._frame.gossip.publish(
             Topic.PLANS,
             PLAN_PREFIX + self.domain,
             # Published again, the same plan needs a greater version, so that
@@ -340,7 +340,7 @@
             ends=ends,
         )
         self._published.version += 1
-        self._frame.board.publish(
+        self._frame.gossip.publish(
             Topic.GROUPS,
             f"{BEAT_PREFIX}{self.domain}/{self._frame.node}",
             self._frame.incarnation * _MS_PER_S + self._published.version,
--- a/src/zinniaspool/control/main.py
+++ b/src/zinniaspool/control/main.py
@@ -18,7 +18,7 @@
 from zinniaspool.core.membership import MemberState, Notice, Topic
 from zinniaspool.core.messages import Hello, Message
 from zinniaspool.core.plans import VmListState
-from zinniaspool.node import NodeFrame, run_program
+from zinniaspool.node import NodeRuntime, run_program
 from zinniaspool.settings import ControlSettings
 from zinniaspool.store import fetch_vm_list
 
@@ -43,7 +43,7 @@
 
     def __init__(self, settings: ControlSettings) -> None:
         self._settings = settings
-        self._frame = NodeFrame(settings)
+        self._frame = NodeRuntime(settings)
         self._ranks = ControlRanks(self._frame)
         self._fleet = FleetTable(settings.report_stale_s)
         self._controllers: dict[FabricDomainId, DomainController] = {}
@@ -55,10 +55,10 @@
         await self._frame.start(self._handle_message)
         self._frame.operators.add_section("groups", self._describe)
         for topic in (Topic.PLANS, Topic.GROUPS):
-            self._frame.board.subscribe(topic, self._on_notice)
+            self._frame.gossip.subscribe(topic, self._on_notice)
         async with asyncio.TaskGroup() as tasks:
             running = [
-                tasks.create_task(self._frame.follow(self._configure)),
+                tasks.create_task(self._frame.follow_configuration(self._configure)),
                 tasks.create_task(self._follow_vm_list()),
             ]
             await self._frame.stopping.wait()
@@ -79,7 +79,7 @@
             self._controllers[heartbeat.domain].on_heartbeat(heartbeat)
 
     def _configure(self, configuration: Configuration, revision: Revision) -> None:
-        self._frame.board.set_state(MemberState.READY)
+        self._frame.gossip.set_state(MemberState.READY)
         self._index = FleetIndex(configuration)
         self._fleet.configure(configuration)
         for domain in self._index.domains:
--- a/src/zinniaspool/control/notes.py
+++ b/src/zinniaspool/control/notes.py
@@ -12,7 +12,7 @@
 from zinniaspool.core.ids import FabricDomainId, GroupId, VmId
 from zinniaspool.core.journal import DecisionKind
 from zinniaspool.core.plans import DomainPlan, GroupPlan, Order
-from zinniaspool.node import NodeFrame
+from zinniaspool.node import NodeRuntime
 
 __all__ = ["DecisionRecorder"]
 
@@ -36,7 +36,7 @@
         domain: The fabric domain.
     """
 
-    def __init__(self, frame: NodeFrame, domain: FabricDomainId) -> None:
+    def __init__(self, frame: NodeRuntime, domain: FabricDomainId) -> None:
         self._frame = frame
         self._domain = domain
         self._index: FleetIndex | None = None
@@ -155,4 +155,4 @@
         subjects = (*subjects, f"domain:{self._domain}")
         if customers:
             fields["customers"] = customers
-        self._frame.decide(kind, subjects, reason, **fields)
+        self._frame.record_decision(kind, subjects, reason, **fields)
--- a/src/zinniaspool/control/ranks.py
+++ b/src/zinniaspool/control/ranks.py
@@ -5,7 +5,7 @@
 from zinniaspool.core.groups.succession import rank_process
 from zinniaspool.core.ids import FabricDomainId, NodeId
 from zinniaspool.core.membership import MemberState, Role
-from zinniaspool.node import NodeFrame
+from zinniaspool.node import NodeRuntime
 
 __all__ = ["ControlRanks"]
 
@@ -25,7 +25,7 @@
         frame: Lists the known processes.
     """
 
-    def __init__(self, frame: NodeFrame) -> None:
+    def __init__(self, frame: NodeRuntime) -> None:
         self._frame = frame
         self._nodes: frozenset[NodeId] = frozenset()
         self._ranks: dict[tuple[NodeId, FabricDomainId], int] = {}
@@ -47,7 +47,7 @@
         self._refreshed_at = now
         nodes = frozenset(
             member.node
-            for member in self._frame.members()
+            for member in self._frame.list_members()
             if member.role is Role.CONTROL
             and member.state in (MemberState.STARTING, MemberState.READY)
         )
--- a/src/zinniaspool/entry/duties.py
+++ b/src/zinniaspool/entry/duties.py
@@ -16,7 +16,7 @@
 )
 from zinniaspool.entry.gate import AdmissionQueues
 from zinniaspool.entry.services import ServiceIndex
-from zinniaspool.node import NodeFrame
+from zinniaspool.node import NodeRuntime
 
 __all__ = ["EntryBackgroundTasks"]
 
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, frame: NodeFrame, index: ServiceIndex, queues: AdmissionQueues
+        self, frame: NodeRuntime, index: ServiceIndex, queues: AdmissionQueues
     ) -> None:
         self._frame = frame
         self._index = index
@@ -61,7 +61,7 @@
     def start(self) -> None:
         """Subscribe to the digests of the other entry processes."""
         self._started_at = asyncio.get_running_loop().time()
-        self._frame.board.subscribe(Topic.LIMITS, self._on_digest)
+        self._frame.gossip.subscribe(Topic.LIMITS, self._on_digest)
 
     def mark_fleet_changed(self) -> None:
         """Make the next pass synchronize the models' upstreams."""
@@ -96,7 +96,7 @@
     def update_shares(self, now: float) -> None:
         """Recompute the local limits from the digests."""
         alive = []
-        for member in self._frame.members():
+        for member in self._frame.list_members():
             if member.role is not Role.ENTRY:
                 continue
             if member.state is MemberState.UNRESPONSIVE:
@@ -132,7 +132,7 @@
         uptime_s = asyncio.get_running_loop().time() - self._started_at
         version = self._frame.incarnation + int(uptime_s * _MS_PER_S)
         self._digest_version = max(self._digest_version + 1, version)
-        self._frame.board.publish(
+        self._frame.gossip.publish(
             Topic.LIMITS,
             self._frame.node,
             self._digest_version,
--- a/src/zinniaspool/entry/main.py
+++ b/src/zinniaspool/entry/main.py
@@ -47,7 +47,7 @@
 from zinniaspool.entry.services import ServiceIndex
 from zinniaspool.entry.sinks import CallOutcome
 from zinniaspool.http import HttpServer
-from zinniaspool.node import NodeFrame, run_program
+from zinniaspool.node import NodeRuntime, run_program
 from zinniaspool.settings import EntrySettings
 
 __all__ = ["EntryProcess", "main"]
@@ -62,7 +62,7 @@
 
     def __init__(self, settings: EntrySettings) -> None:
         self._settings = settings
-        self._frame = NodeFrame(settings)
+        self._frame = NodeRuntime(settings)
         self._upstreams = ServingUpstreamTable(settings.report_stale_s)
         self._caller_tls = self._frame.access.load_tls(
             "caller_tls", settings.caller_tls
@@ -77,11 +77,11 @@
         relay = RequestRelay(self._frame.http, self._record_failed_attempt)
         runner = CallRunner(self._index, self._queues, relay)
         self._forwarder = CallForwarder(
-            self._frame.links, Address(settings.peer_address), self._frame.members
+            self._frame.links, Address(settings.peer_address), self._frame.list_members
         )
         self._once = self._make_once(runner)
         self._directory = EntryDirectory(
-            self._frame.members,
+            self._frame.list_members,
             self._background_tasks.list_loads,
             self._once.issue_session,
             local_domain,
@@ -107,7 +107,7 @@
         await self._frame.start(self._handle_message)
         self._background_tasks.start()
         for topic in (Topic.PLANS, Topic.GROUPS):
-            self._frame.board.subscribe(topic, self._on_notice)
+            self._frame.gossip.subscribe(topic, self._on_notice)
         tls = self._caller_tls
         server = HttpServer(
             self._callers.handle,
@@ -123,7 +123,7 @@
         _log.info("callers-listening", address=bound)
         async with asyncio.TaskGroup() as tasks:
             running = [
-                tasks.create_task(self._frame.follow(self._configure)),
+                tasks.create_task(self._frame.follow_configuration(self._configure)),
                 tasks.create_task(self._once.run()),
                 tasks.create_task(self._background_tasks.run()),
                 tasks.create_task(DepartureDetector(self._index).run()),
@@ -178,7 +178,7 @@
 
     def _load_credentials(self) -> Credentials:
         path = Path(self._settings.credentials_file)
-        return self._frame.access.load(
+        return self._frame.access.load_watched(
             "credentials_file", str(path), lambda: Credentials(path)
         )
 
@@ -188,10 +188,10 @@
         self._index.configure(configuration, now)
         self._background_tasks.update_shares(now)
         self._callers.ready = True
-        self._frame.board.set_state(MemberState.READY)
+        self._frame.gossip.set_state(MemberState.READY)
 
     def _record_failed_attempt(self, failed: FailedAttempt) -> None:
-        self._frame.decide(
+        self._frame.record_decision(
             DecisionKind.ATTEMPT_FAILED,
             (
                 f"request:{failed.request}",
--- a/src/zinniaspool/node/__init__.py
+++ b/src/zinniaspool/node/__init__.py
@@ -1,22 +1,22 @@
-"""What the entry and control processes share."""
+"""Parts that the entry and control processes share."""
 
-from zinniaspool.node.access import Access
-from zinniaspool.node.board import Board, NoticeTaker
+from zinniaspool.node.access import AccessControl
+from zinniaspool.node.board import GossipService, NoticeHandler
 from zinniaspool.node.files import CredentialFile
 from zinniaspool.node.follower import ConfigurationFollower
-from zinniaspool.node.frame import NodeFrame
-from zinniaspool.node.operators import Operator, OperatorInterface, View
+from zinniaspool.node.frame import NodeRuntime
+from zinniaspool.node.operators import Operator, OperatorInterface, OperatorQuery
 from zinniaspool.node.program import run_program
 
 __all__ = [
-    "Access",
-    "Board",
+    "AccessControl",
+    "GossipService",
     "ConfigurationFollower",
     "CredentialFile",
-    "NodeFrame",
-    "NoticeTaker",
+    "NodeRuntime",
+    "NoticeHandler",
     "Operator",
     "OperatorInterface",
-    "View",
+    "OperatorQuery",
     "run_program",
 ]
--- a/src/zinniaspool/node/access.py
+++ b/src/zinniaspool/node/access.py
@@ -1,4 +1,4 @@
-"""Credentials and TLS of one process, loaded and kept fresh."""
+"""Credentials and TLS of one process, reloaded when their files change."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -13,70 +13,94 @@
     Reloadable,
 )
 from zinniaspool.node.operators import Operator, load_operators
-from zinniaspool.node.tls import TlsSide
+from zinniaspool.node.tls import TlsEndpoint
 from zinniaspool.settings import FileFault, NodeSettings, SettingsError, TlsFiles
 
-__all__ = ["Access"]
+__all__ = ["AccessControl"]
 
 _Source = TypeVar("_Source", bound=Reloadable)
 
 
-class Access:
-    """Who may reach a process, and how it shows who it is.
+class AccessControl:
+    """Decides who may reach a process and proves the process's identity.
 
     Args:
-        settings: Where the files are.
+        settings: Settings that name the files.
+
+    Attributes:
+        reloader: Reloads the files when they change.
+        peer_secrets: Secrets by which the fleet's processes know each other.
+        operators: Operators by credential; None without such a file.
+        operator_tls: TLS of the operators' address; None for plain TCP.
+        peer_tls: TLS of connections between peers; None for plain TCP.
 
     Raises:
-        SettingsError: A file holds nothing usable.
+        SettingsError: A file has no usable content.
     """
 
     def __init__(self, settings: NodeSettings) -> None:
-        self.files = FileReloader(settings.credentials_reload_s)
+        self.reloader = FileReloader(settings.credentials_reload_s)
         secret = Path(settings.peer_secret_file)
-        self.peers = self.load(
+        self.peer_secrets = self.load_watched(
             "peer_secret_file", secret.name, lambda: PeerSecrets(secret)
         )
         self.operators = self._load_operators(settings.operators_file)
         self.operator_tls = self.load_tls("operator_tls", settings.operator_tls)
-        self.peer_tls = self.load_tls("peer_tls", settings.peer_tls, peers=True)
+        self.peer_tls = self.load_tls("peer_tls", settings.peer_tls, between_peers=True)
 
-    def load(self, key: str, file: str, make: Callable[[], _Source]) -> _Source:
-        """Return something loaded from files, watched from now on.
+    def load_watched(
+        self, key: str, file_name: str, load_source: Callable[[], _Source]
+    ) -> _Source:
+        """Load a source from files and reload it when they change.
 
         Args:
-            key: The settings' key that names the files.
-            file: What the fault names.
-            make: Loads it.
+            key: Key of the settings that names the files.
+            file_name: File named in the error.
+            load_source: Loads the source from its files.
 
         Raises:
-            SettingsError: The files hold nothing usable.
+            SettingsError: The files have no usable content.
         """
         try:
-            source = make()
+            source = load_source()
         except (OSError, ValueError, msgspec.MsgspecError) as error:
-            # The kind of error alone: its text may quote the file.
+            # Only the type of the error is shown, since its text may quote
+            # the file, which holds secrets.
             found = f"nothing usable ({type(error).__name__})"
             accepted = "a file as docs/operators.md describes it"
-            raise SettingsError([FileFault(file, 0, key, found, accepted)]) from None
-        self.files.add(source)
+            raise SettingsError(
+                [FileFault(file_name, 0, key, found, accepted)]
+            ) from None
+        self.reloader.add(source)
         return source
 
     def load_tls(
-        self, key: str, files: TlsFiles | None, *, peers: bool = False
-    ) -> TlsSide | None:
-        """Return the TLS of one address, or None where it has none.
+        self, key: str, files: TlsFiles | None, *, between_peers: bool = False
+    ) -> TlsEndpoint | None:
+        """Load the TLS of one address and reload it when its files change.
+
+        Args:
+            key: Key of the settings that names the files.
+            files: Certificate, key and authority; None for plain TCP.
+            between_peers: Whether both ends are processes of this fleet.
+
+        Returns:
+            The TLS of the address, or None for plain TCP.
 
         Raises:
-            SettingsError: The files hold nothing usable.
+            SettingsError: The files have no usable content.
         """
         if files is None:
             return None
-        return self.load(
-            key, files.certificate_file, lambda: TlsSide(files, peers=peers)
+        return self.load_watched(
+            key,
+            files.certificate_file,
+            lambda: TlsEndpoint(files, between_peers=between_peers),
         )
 
     def _load_operators(self, file: str | None) -> CredentialFile[Operator] | None:
         if file is None:
             return None
-        return self.load("operators_file", file, lambda: load_operators(Path(file)))
+        return self.load_watched(
+            "operators_file", file, lambda: load_operators(Path(file))
+        )
--- a/src/zinniaspool/node/files.py
+++ b/src/zinniaspool/node/files.py
@@ -1,4 +1,4 @@
-"""Files whose changes take effect without a restart."""
+"""Credential and secret files whose changes apply without a restart."""
 
 import asyncio
 import hashlib
@@ -15,75 +15,77 @@
 
 _log = structlog.get_logger(__name__)
 _SCHEME = "bearer"
+"""Accepted scheme of the Authorization header, in lower case."""
 
 _T = TypeVar("_T")
 
 
 class Reloadable(Protocol):
-    """Something that is read from files and can be read again."""
+    """Data that is loaded from files and can be loaded again."""
 
     @property
     def paths(self) -> tuple[Path, ...]:
-        """The files."""
+        """Paths of the files."""
         ...
 
     def load(self) -> None:
-        """Read the files and use what they hold.
+        """Read the files and use their content from now on.
 
         Raises:
             OSError: A file cannot be read.
-            ValueError: A file holds nothing usable.
+            ValueError: A file has no usable content.
         """
         ...
 
 
 class FileReloader:
-    """Loads files again once they have changed.
+    """Loads files again after they have changed.
 
-    A file that is replaced by one that cannot be used leaves in force what
-    was loaded before: half a file, seen while it is being written, must not
-    lock everybody out.
+    If a changed file can't be used, the content loaded before stays in
+    use: a file that is read while it is being written must not lock all
+    clients out.
 
     Args:
-        every_s: Seconds between two looks.
+        interval_s: Seconds between two checks of the files.
     """
 
-    def __init__(self, every_s: float) -> None:
-        self._every_s = every_s
-        self._seen: dict[Reloadable, list[tuple[int, int, int]]] = {}
-        self._due = asyncio.Event()
+    def __init__(self, interval_s: float) -> None:
+        self._interval_s = interval_s
+        self._fingerprints: dict[Reloadable, list[tuple[int, int, int]]] = {}
+        self._reload_requested = asyncio.Event()
 
     def add(self, source: Reloadable) -> None:
-        """Watch the files of something that is loaded already."""
-        self._seen[source] = _describe_files(source)
+        """Watch the files of a source that has been loaded."""
+        self._fingerprints[source] = _compute_fingerprints(source)
 
-    def look_now(self) -> None:
-        """Look at once, as an operator's signal asks."""
-        self._due.set()
+    def request_reload(self) -> None:
+        """Check the files now; an operator requests this by SIGHUP."""
+        self._reload_requested.set()
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Check the files regularly until cancelled."""
         while True:
-            self._due.clear()
-            self.look()
+            self._reload_requested.clear()
+            self.reload_changed()
             try:
-                async with asyncio.timeout(self._every_s):
-                    await self._due.wait()
+                async with asyncio.timeout(self._interval_s):
+                    await self._reload_requested.wait()
             except TimeoutError:
                 continue
 
-    def look(self) -> None:
-        """Load again what has changed since the last look."""
-        for source, before in list(self._seen.items()):
-            now = _describe_files(source)
+    def reload_changed(self) -> None:
+        """Reload the sources whose files changed since the last check."""
+        for source, before in list(self._fingerprints.items()):
+            now = _compute_fingerprints(source)
             if now == before:
                 continue
-            self._seen[source] = now
+            self._fingerprints[source] = now
             files = ",".join(path.name for path in source.paths)
             try:
                 source.load()
             except (OSError, ValueError, msgspec.MsgspecError) as error:
-                # The kind of error alone: its text may quote the file.
+                # Only the type of the error is logged, since its text may
+                # quote the file, which holds secrets.
                 _log.error(
                     "credentials-unreadable", files=files, error=type(error).__name__
                 )
@@ -92,58 +94,65 @@
 
 
 class CredentialFile(Generic[_T]):
-    """Who holds which credential, by a file.
+    """The identities of clients by credential, loaded from a file.
 
     Args:
-        path: The file.
-        decode: Returns the holder of each credential in the file's bytes.
+        path: Path of the file.
+        decode: Returns the identity of each credential in the file's bytes.
 
     Raises:
         OSError: The file cannot be read.
-        ValueError: The file holds nothing usable.
+        ValueError: The file has no usable content.
     """
 
     def __init__(self, path: Path, decode: Callable[[bytes], Mapping[str, _T]]) -> None:
         self.paths = (path,)
         self._decode = decode
-        self._holders: list[tuple[bytes, _T]] = []
+        self._identities: list[tuple[bytes, _T]] = []
         self.load()
 
     def load(self) -> None:
         """Read the file again."""
-        found = self._decode(self.paths[0].read_bytes())
-        if "" in found:
-            raise ValueError("an empty credential")
-        self._holders = [(_digest(text), holder) for text, holder in found.items()]
+        identities = self._decode(self.paths[0].read_bytes())
+        if "" in identities:
+            raise ValueError("a credential is empty")
+        self._identities = [
+            (_digest(credential), identity)
+            for credential, identity in identities.items()
+        ]
 
     def find(self, authorization: str | None) -> _T | None:
-        """Return who holds the credential of an Authorization header."""
+        """Return the identity of an Authorization header's credential.
+
+        Returns:
+            The identity, or None if the header has no known credential.
+        """
         scheme, _, credential = (authorization or "").partition(" ")
         if scheme.lower() != _SCHEME:
             return None
-        asked = _digest(credential.strip())
-        holder = None
-        # Every entry is compared, each in constant time, so that the time
-        # taken tells nothing about how close a guess is.
-        for digest, candidate in self._holders:
-            if hmac.compare_digest(digest, asked):
-                holder = candidate
-        return holder
+        given_digest = _digest(credential.strip())
+        found = None
+        # All credentials are compared, each in constant time, so that the
+        # duration reveals nothing about how close a guess is.
+        for digest, identity in self._identities:
+            if hmac.compare_digest(digest, given_digest):
+                found = identity
+        return found
 
 
 class PeerSecrets:
-    """The secrets by which processes of one fleet know each other.
+    """The secrets by which the processes of one fleet recognize each other.
 
-    One a line. The first is shown and all are accepted, so that a new one
-    is brought in by three changes of the file: added last, moved to the
-    front, the old one taken out.
+    The file has one secret per line. A process presents the first one and
+    accepts all of them, so that three changes of the file replace a secret:
+    add the new one at the end, move it to the front, remove the old one.
 
     Args:
-        path: The file.
+        path: Path of the file.
 
     Raises:
         OSError: The file cannot be read.
-        ValueError: The file holds no secret.
+        ValueError: The file has no secret.
     """
 
     def __init__(self, path: Path) -> None:
@@ -152,8 +161,8 @@
         self.load()
 
     @property
-    def shown(self) -> str:
-        """What this process shows."""
+    def presented(self) -> str:
+        """The secret that this process presents to peers."""
         return self._secrets[0]
 
     def load(self) -> None:
@@ -161,13 +170,16 @@
         lines = [line.strip() for line in self.paths[0].read_text().splitlines()]
         secrets = [line for line in lines if line]
         if not secrets:
-            raise ValueError("no secret")
+            raise ValueError("the file has no secret")
         self._secrets = secrets
 
     def accepts(self, secret: str) -> bool:
-        """Tell whether a peer that shows this belongs to the fleet."""
-        asked = _digest(secret)
-        matches = [hmac.compare_digest(_digest(own), asked) for own in self._secrets]
+        """Return whether a peer that presents the secret is of this fleet."""
+        given_digest = _digest(secret)
+        matches = [
+            hmac.compare_digest(_digest(accepted), given_digest)
+            for accepted in self._secrets
+        ]
         return any(matches)
 
 
@@ -175,13 +187,17 @@
     return hashlib.sha256(text.encode("utf-8", "surrogatepass")).digest()
 
 
-def _describe_files(source: Reloadable) -> list[tuple[int, int, int]]:
-    described = []
+def _compute_fingerprints(source: Reloadable) -> list[tuple[int, int, int]]:
+    """Return modification time, size and inode of each file of a source.
+
+    A file that can't be examined has zeros.
+    """
+    fingerprints = []
     for path in source.paths:
         try:
-            found = os.stat(path)
+            status = os.stat(path)
         except OSError:
-            described.append((0, 0, 0))
+            fingerprints.append((0, 0, 0))
             continue
-        described.append((found.st_mtime_ns, found.st_size, found.st_ino))
-    return described
+        fingerprints.append((status.st_mtime_ns, status.st_size, status.st_ino))
+    return fingerprints
--- a/src/zinniaspool/node/frame.py
+++ b/src/zinniaspool/node/frame.py
@@ -1,4 +1,7 @@
-"""The frame of a process: store, peers, signals."""
+"""Runtime of a process: store, peers, gossip, operators and signals.
+
+Entry and control processes share this runtime and add their own tasks.
+"""
 
 import asyncio
 import signal
@@ -28,24 +31,37 @@
 from zinniaspool.core.messages import PROTOCOL_VERSION, GossipMessage, Hello, Message
 from zinniaspool.core.messages.configuration import ConfigurationRequest
 from zinniaspool.http import HttpClient, HttpServer
-from zinniaspool.node.access import Access
-from zinniaspool.node.board import Board
+from zinniaspool.node.access import AccessControl
+from zinniaspool.node.board import GossipService
 from zinniaspool.node.follower import ConfigurationFollower
-from zinniaspool.node.lag import MemberRevision, ask_revisions
+from zinniaspool.node.lag import MemberRevision, query_revisions
 from zinniaspool.node.operators import OperatorInterface
 from zinniaspool.peers import PeerHandler, PeerLinks, PeerListener
 from zinniaspool.settings import EntrySettings, NodeSettings
 from zinniaspool.store import BudgetedStore, CallKind, HttpStore
 from zinniaspool.telemetry.metrics import Metrics
 
-__all__ = ["NodeFrame"]
+__all__ = ["NodeRuntime"]
 
 _log = structlog.get_logger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessState:
-    """What a dump says of the process itself."""
+    """State of the process itself in its state dump.
+
+    Attributes:
+        node: Name of the process.
+        incarnation: The start of the process, in milliseconds since 1970.
+        failure_domain: Failure domain of its VM.
+        version: Version of the software.
+        protocol: Version of the protocol between peers.
+        stopping: Whether the process is shutting down.
+        tasks: Number of asyncio tasks.
+        decisions: Number of recorded decisions by kind.
+        store_calls: Number of store calls by kind.
+        store_calls_refused: Number of store calls refused by the budget.
+    """
 
     node: NodeId
     incarnation: Incarnation
@@ -59,11 +75,26 @@
     store_calls_refused: int
 
 
-class NodeFrame:
-    """What a process has before it does anything of its own.
+class NodeRuntime:
+    """The store, connections and interfaces that every process has.
 
     Args:
-        settings: Who the process is and whom it meets.
+        settings: Settings of the process.
+
+    Attributes:
+        node: Name of this process.
+        incarnation: Start of this process, in milliseconds since 1970.
+        http: HTTP client of the store and of the tasks of this process.
+        store: The store, limited to this process's budget of calls.
+        access: Credentials, peer secrets and TLS of this process.
+        links: Connections to peers.
+        stopping: Set when this process is to shut down.
+        journal: Decisions of this process.
+        metrics: Metrics of this process.
+        operators: Interface for operators.
+        gossip: Gossip among the processes of the fleet.
+        follower: Follows the accepted configuration; None until
+            ``follow_configuration`` is called.
     """
 
     def __init__(self, settings: NodeSettings) -> None:
@@ -74,10 +105,10 @@
         self.store = BudgetedStore(
             HttpStore(self.http, addresses), settings.store_calls_per_s
         )
-        self.access = Access(settings)
+        self.access = AccessControl(settings)
         peer_tls = self.access.peer_tls
         self.links = PeerLinks(
-            self._say_hello, tls=peer_tls.client if peer_tls else None
+            self._make_hello, tls=peer_tls.client if peer_tls else None
         )
         self.stopping = asyncio.Event()
         self.journal = Journal()
@@ -88,8 +119,8 @@
             self.metrics.render,
             self.stopping.set,
         )
-        self.board = Board(
-            _describe(settings, self.incarnation),
+        self.gossip = GossipService(
+            _make_member_record(settings, self.incarnation),
             tuple(Address(seed) for seed in settings.seeds),
             self.links,
             GossipLimits(bytes_per_s=settings.gossip_bytes_per_s),
@@ -101,114 +132,130 @@
         self._listener: PeerListener | None = None
 
     async def start(self, handler: PeerHandler) -> None:
-        """Listen for peers and for the signals that stop the process."""
+        """Start the gossip and listen for peers, operators and signals.
+
+        SIGTERM and SIGINT stop the process, SIGUSR1 writes a state dump and
+        SIGHUP reloads changed credential and TLS files.
+
+        Args:
+            handler: Handles the messages of peers that concern neither
+                gossip nor the configuration.
+        """
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stopping.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stopping.set)
         loop.add_signal_handler(signal.SIGUSR1, self._write_dump)
-        loop.add_signal_handler(signal.SIGHUP, self.access.files.look_now)
+        loop.add_signal_handler(signal.SIGHUP, self.access.reloader.request_reload)
         self._handler = handler
         peer_tls, operator_tls = self.access.peer_tls, self.access.operator_tls
         self._listener = PeerListener(
             self.node,
-            self.access.peers.accepts,
-            self._handle,
+            self.access.peer_secrets.accepts,
+            self._handle_message,
             tls=peer_tls.server if peer_tls else None,
         )
-        bound = await self._listener.listen(Address(self._settings.peer_address))
-        _log.info("peers-listening", address=bound)
+        bound_address = await self._listener.listen(
+            Address(self._settings.peer_address)
+        )
+        _log.info("peers-listening", address=bound_address)
         if self._settings.operator_address:
             server = HttpServer(
                 self.operators.handle, tls=operator_tls.server if operator_tls else None
             )
-            bound = await server.listen(Address(self._settings.operator_address))
-            _log.info("operators-listening", address=bound)
+            bound_address = await server.listen(
+                Address(self._settings.operator_address)
+            )
+            _log.info("operators-listening", address=bound_address)
         self.operators.add_section("process", self._describe_process)
-        self.operators.add_section("members", self.members)
-        self.operators.add_question("/revisions", self._ask_revisions)
-        self._show_gauges()
+        self.operators.add_section("members", self.list_members)
+        self.operators.add_fleet_query("/revisions", self._query_revisions)
+        self._add_gauges()
         self._tasks = [
-            loop.create_task(self.access.files.run()),
-            loop.create_task(self.board.run()),
-            loop.create_task(self._stop_when_superseded()),
+            loop.create_task(self.access.reloader.run()),
+            loop.create_task(self.gossip.run()),
+            loop.create_task(self._stop_once_superseded()),
             loop.create_task(self._announce_leaving()),
         ]
 
-    async def follow(
+    async def follow_configuration(
         self, on_change: Callable[[Configuration, Revision], None]
     ) -> None:
-        """Keep the accepted configuration in force until cancelled.
+        """Keep the accepted configuration active until cancelled.
 
         Args:
-            on_change: Called with each newer configuration.
+            on_change: Called with each configuration that becomes active.
         """
-        own = Address(self._settings.peer_address)
-        seeds = [Address(s) for s in self._settings.seeds if s != own]
+        local_address = Address(self._settings.peer_address)
+        seeds = [
+            Address(seed) for seed in self._settings.seeds if seed != local_address
+        ]
 
-        def change(configuration: Configuration, revision: Revision) -> None:
+        def record_and_pass_on(
+            configuration: Configuration, revision: Revision
+        ) -> None:
             reason = "accepted and whole"
             subjects = (f"configuration:{revision}",)
-            self.decide(DecisionKind.CONFIGURATION_IN_FORCE, subjects, reason)
+            self.record_decision(DecisionKind.CONFIGURATION_IN_FORCE, subjects, reason)
             on_change(configuration, revision)
 
         self.follower = ConfigurationFollower(
-            self.node, seeds, self.store, self.board, self.links, change
+            self.node, seeds, self.store, self.gossip, self.links, record_and_pass_on
         )
-        self.operators.add_section("configuration", self.follower.state)
+        self.operators.add_section("configuration", self.follower.describe_state)
         await self.follower.run()
 
-    def members(self) -> list[Member]:
-        """Return the fleet's processes as known here, by name."""
-        return list(self.board.members())
+    def list_members(self) -> list[Member]:
+        """Return the fleet's processes that this process knows, by name."""
+        return list(self.gossip.list_members())
 
-    def decide(
+    def record_decision(
         self, kind: DecisionKind, subjects: tuple[str, ...], reason: str, **fields: str
     ) -> None:
-        """Record a decision, and log it as one event."""
+        """Record a decision in the journal and log it as one event."""
         self.journal.record(time.time(), kind, subjects, reason, **fields)
         _log.info(kind.value, subjects=",".join(subjects), reason=reason, **fields)
 
     def close(self) -> None:
-        """Close what is open."""
+        """Cancel the tasks and close the listener and all connections."""
         for task in self._tasks:
             task.cancel()
-        self.board.close()
+        self.gossip.close()
         if self._listener is not None:
             self._listener.close()
         self.links.close()
         self.http.close()
 
-    async def _handle(self, hello: Hello, message: Message) -> Message | None:
+    async def _handle_message(self, hello: Hello, message: Message) -> Message | None:
         if isinstance(message, GossipMessage):
-            return await self.board.handle(hello, message)
+            return await self.gossip.handle(hello, message)
         if isinstance(message, ConfigurationRequest):
-            return self.follower.answer(message) if self.follower else None
+            return self.follower.make_response(message) if self.follower else None
         if self._handler is None:
             return None
         return await self._handler(hello, message)
 
     async def _announce_leaving(self) -> None:
         await self.stopping.wait()
-        self.board.set_state(MemberState.LEAVING)
+        self.gossip.set_state(MemberState.LEAVING)
 
-    async def _stop_when_superseded(self) -> None:
-        await self.board.superseded.wait()
+    async def _stop_once_superseded(self) -> None:
+        await self.gossip.superseded.wait()
         self.stopping.set()
 
-    async def _ask_revisions(self) -> list[MemberRevision]:
-        return await ask_revisions(self.board, self.links)
+    async def _query_revisions(self) -> list[MemberRevision]:
+        return await query_revisions(self.gossip, self.links)
 
-    def _show_gauges(self) -> None:
-        for name, description, read in (
+    def _add_gauges(self) -> None:
+        for name, description, read_value in (
             ("tasks", "Tasks on the loop.", lambda: len(asyncio.all_tasks())),
-            ("members", "Processes known here.", lambda: len(self.members())),
+            ("members", "Processes known here.", lambda: len(self.list_members())),
             (
                 "peer_sent_bytes",
                 "Bytes sent to peers since the start.",
                 lambda: self.links.sent_bytes,
             ),
         ):
-            self.metrics.add_gauge(f"zinniaspool_{name}", description, read)
+            self.metrics.add_gauge(f"zinniaspool_{name}", description, read_value)
 
     def _describe_process(self) -> ProcessState:
         return ProcessState(
@@ -232,19 +279,23 @@
             return
         _log.info("dump-written", path=str(path))
 
-    def _say_hello(self) -> Hello:
+    def _make_hello(self) -> Hello:
         return Hello(
             PROTOCOL_VERSION,
             self.node,
             self.incarnation,
             FailureDomainId(self._settings.failure_domain),
-            self.access.peers.shown,
+            self.access.peer_secrets.presented,
         )
 
 
-def _describe(settings: NodeSettings, incarnation: Incarnation) -> MemberRecord:
+def _make_member_record(
+    settings: NodeSettings, incarnation: Incarnation
+) -> MemberRecord:
     is_entry = isinstance(settings, EntrySettings)
-    callers = settings.caller_address if isinstance(settings, EntrySettings) else ""
+    caller_address = (
+        settings.caller_address if isinstance(settings, EntrySettings) else ""
+    )
     return MemberRecord(
         NodeId(settings.node),
         incarnation,
@@ -252,7 +303,7 @@
         MemberState.STARTING,
         FailureDomainId(settings.failure_domain),
         Address(settings.peer_address),
-        Address(callers),
+        Address(caller_address),
         Address(settings.operator_address),
         PROTOCOL_VERSION,
     )
--- a/src/zinniaspool/node/lag.py
+++ b/src/zinniaspool/node/lag.py
@@ -1,4 +1,4 @@
-"""Which revision of the configuration each member has in force."""
+"""Queries the members for their active revision of the configuration."""
 
 import asyncio
 
@@ -10,22 +10,23 @@
     ConfigurationRequest,
     ConfigurationResponse,
 )
-from zinniaspool.node.board import Board
+from zinniaspool.node.board import GossipService
 from zinniaspool.peers import PeerLinks
 
-__all__ = ["MemberRevision", "ask_revisions"]
+__all__ = ["MemberRevision", "query_revisions"]
 
-_AT_ONCE = 32
-"""Members asked at a time."""
+_MAX_CONCURRENT_QUERIES = 32
+"""Members that are queried at the same time."""
 
 
 class MemberRevision(msgspec.Struct, frozen=True):
-    """What one member has in force.
+    """The active revision of one member.
 
     Attributes:
-        node: The member.
-        state: Its state, as known by the asked process.
-        revision: In force there, 0 for none; None when it did not answer.
+        node: Name of the member.
+        state: State of the member as known by the querying process.
+        revision: Active revision of the member, 0 for none; None if the
+            member did not respond or was not queried.
     """
 
     node: NodeId
@@ -33,18 +34,24 @@
     revision: Revision | None
 
 
-async def ask_revisions(board: Board, links: PeerLinks) -> list[MemberRevision]:
-    """Ask every member that is not silent, and return all, by name."""
-    gate = asyncio.Semaphore(_AT_ONCE)
+async def query_revisions(
+    gossip: GossipService, links: PeerLinks
+) -> list[MemberRevision]:
+    """Query all members but the unresponsive ones for their revision.
 
-    async def ask(member: Member) -> MemberRevision:
+    Returns:
+        One result for every member, by name.
+    """
+    limiter = asyncio.Semaphore(_MAX_CONCURRENT_QUERIES)
+
+    async def query(member: Member) -> MemberRevision:
         if member.state is MemberState.UNRESPONSIVE:
             return MemberRevision(member.node, member.state, None)
-        async with gate:
+        async with limiter:
             reply = await links.request(
                 member.peer_address, ConfigurationRequest(), member.node
             )
-        held = reply.in_force if isinstance(reply, ConfigurationResponse) else None
-        return MemberRevision(member.node, member.state, held)
+        revision = reply.in_force if isinstance(reply, ConfigurationResponse) else None
+        return MemberRevision(member.node, member.state, revision)
 
-    return list(await asyncio.gather(*map(ask, board.members())))
+    return list(await asyncio.gather(*map(query, gossip.list_members())))
--- a/src/zinniaspool/node/operators.py
+++ b/src/zinniaspool/node/operators.py
@@ -1,4 +1,8 @@
-"""The operators' interface of a process: state, metrics, explanations."""
+"""HTTP interface of a process for operators.
+
+It serves the state dump, metrics and explanations of decisions, and starts
+the graceful shutdown of the process.
+"""
 
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
@@ -20,25 +24,26 @@
     "DUMP_VERSION",
     "Operator",
     "OperatorInterface",
-    "View",
+    "OperatorQuery",
     "load_operators",
 ]
 
 DUMP_VERSION = 1
-"""Version of the dump's form."""
+"""Version of the dump's format."""
 
 _log = structlog.get_logger(__name__)
 _LOOPBACK = ("127.", "::1")
+"""Prefixes of the addresses of the loopback interface."""
 
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """Who asks.
+    """The operator that sends a request.
 
     Attributes:
-        name: For the log.
+        name: Name of the operator in the log.
         customer: The only customer whose part of the fleet this operator
-            sees, or None for one who sees and does all.
+            may see; None for an operator who may see and do everything.
     """
 
     name: str
@@ -49,28 +54,30 @@
     operators: dict[str, Operator]
 
 
-View = Callable[[Operator, Mapping[str, str]], Any]
-"""Answers one path with what msgspec encodes, from who asks and the query.
+OperatorQuery = Callable[[Operator, Mapping[str, str]], Any]
+"""Returns the response to a path as an object that msgspec encodes.
 
-It leaves out what an operator of one customer may not see.
+It receives the operator and the query parameters, and leaves out what an
+operator of one customer may not see.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class _Section:
-    make: Callable[[], Any]
-    make_for: Callable[[CustomerId], Any] | None
+    make_section: Callable[[], Any]
+    make_customer_section: Callable[[CustomerId], Any] | None
 
 
 def load_operators(path: Path) -> CredentialFile[Operator]:
-    """Return the operators that a file names.
+    """Load the operators that a file names.
 
     The file is JSON: ``{"operators": {"CREDENTIAL": {"name": "NAME",
-    "customer": "CUSTOMER"}}}``, the customer left out for those who see all.
+    "customer": "CUSTOMER"}}}``. An operator without a customer may see and do
+    everything.
 
     Raises:
         OSError: The file cannot be read.
-        ValueError: It holds something else.
+        ValueError: The file has another format.
     """
     return CredentialFile(path, _decode_operators)
 
@@ -80,14 +87,14 @@
 
 
 class OperatorInterface:
-    """Answers operators over HTTP.
+    """Answers the HTTP requests of operators.
 
     Args:
-        journal: The process's decisions.
-        operators: Who may ask; None admits callers on the loopback
-            interface alone, who are on this VM already.
+        journal: The decisions of this process.
+        operators: The operators by credential. None admits only clients on
+            the loopback interface, since these are already on this VM.
         render_metrics: Returns the metrics in Prometheus' text format.
-        drain: Starts the process's graceful shutdown.
+        drain: Starts the graceful shutdown of this process.
     """
 
     def __init__(
@@ -102,44 +109,51 @@
         self._render_metrics = render_metrics
         self._drain = drain
         self._sections: dict[str, _Section] = {}
-        self._views: dict[str, View] = {}
-        self._questions: dict[str, Callable[[], Awaitable[Any]]] = {}
+        self._queries: dict[str, OperatorQuery] = {}
+        self._fleet_queries: dict[str, Callable[[], Awaitable[Any]]] = {}
 
     def add_section(
         self,
         name: str,
-        make: Callable[[], Any],
-        make_for: Callable[[CustomerId], Any] | None = None,
+        make_section: Callable[[], Any],
+        make_customer_section: Callable[[CustomerId], Any] | None = None,
     ) -> None:
-        """Add a part of the dump.
+        """Add a section to the state dump.
 
         Args:
-            name: The part's key.
-            make: Returns what msgspec encodes.
-            make_for: Returns what an operator of one customer may see;
-                without it such an operator does not see this part.
+            name: Key of the section.
+            make_section: Returns the section as an object that msgspec
+                encodes.
+            make_customer_section: Returns what an operator of one customer
+                may see of the section. None hides the section from such
+                operators.
         """
-        self._sections[name] = _Section(make, make_for)
+        self._sections[name] = _Section(make_section, make_customer_section)
 
-    def add_view(self, path: str, view: View) -> None:
-        """Answer a path."""
-        self._views[path] = view
+    def add_query(self, path: str, query: OperatorQuery) -> None:
+        """Answer GET requests for a path with the result of a query."""
+        self._queries[path] = query
 
-    def add_question(self, path: str, ask: Callable[[], Awaitable[Any]]) -> None:
-        """Answer a path with what is asked from other processes.
+    def add_fleet_query(self, path: str, query: Callable[[], Awaitable[Any]]) -> None:
+        """Answer GET requests for a path with data from other processes.
 
-        Only operators who see all may ask.
+        Only operators who may see everything may request it.
         """
-        self._questions[path] = ask
+        self._fleet_queries[path] = query
+
+    def encode_dump(self, customer: CustomerId | None = None) -> bytes:
+        """Return the state as JSON.
 
-    def dump(self, customer: CustomerId | None = None) -> bytes:
-        """Return the state as JSON, all of it or what one customer may see."""
+        Args:
+            customer: Limits the state to what an operator of this customer
+                may see; None for the whole state.
+        """
         state = {}
         for name, section in sorted(self._sections.items()):
             if customer is None:
-                state[name] = section.make()
-            elif section.make_for is not None:
-                state[name] = section.make_for(customer)
+                state[name] = section.make_section()
+            elif section.make_customer_section is not None:
+                state[name] = section.make_customer_section(customer)
         state["decisions"] = [
             decision
             for decision in self._journal.list_decisions()
@@ -150,18 +164,23 @@
     def write_dump(self, folder: str | None, name: str) -> Path:
         """Write the whole state to a file that only its owner can read.
 
+        Args:
+            folder: Folder of the file; None for the system's folder of
+                temporary files.
+            name: Part of the file's name.
+
         Raises:
             OSError: The file cannot be written.
         """
         with NamedTemporaryFile(
             prefix=f"zinniaspool-{name}-", suffix=".json", dir=folder, delete=False
         ) as file:
-            file.write(self.dump())
+            file.write(self.encode_dump())
         return Path(file.name)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
-        operator = self._recognize(exchange)
+        """Answer one request of an operator."""
+        operator = self._authenticate(exchange)
         if operator is None:
             _log.warning("operator-refused", peer=exchange.peer)
             headers = Headers.of(www_authenticate="Bearer")
@@ -171,20 +190,20 @@
         query = dict(parse_qsl(url.query))
         match exchange.request.method, url.path:
             case "GET", "/dump":
-                await _answer(exchange, self.dump(operator.customer))
-            case "GET", "/explain" if "/explain" not in self._views:
-                found = self._explain(operator, query.get("subject", ""))
-                await _answer(exchange, msgspec.json.encode(found))
-            case "GET", path if path in self._views:
-                shown = self._views[path](operator, query)
-                await _answer(exchange, msgspec.json.encode(shown))
+                await _answer(exchange, self.encode_dump(operator.customer))
+            case "GET", "/explain" if "/explain" not in self._queries:
+                decisions = self._explain(operator, query.get("subject", ""))
+                await _answer(exchange, msgspec.json.encode(decisions))
+            case "GET", path if path in self._queries:
+                result = self._queries[path](operator, query)
+                await _answer(exchange, msgspec.json.encode(result))
             case ("GET", "/metrics") | ("POST", "/drain") if operator.customer:
                 await exchange.respond(403, Headers(), b"")
-            case "GET", path if path in self._questions:
-                await self._put_question(exchange, operator, path)
+            case "GET", path if path in self._fleet_queries:
+                await self._answer_fleet_query(exchange, operator, path)
             case "GET", "/metrics":
-                kind = Headers.of(content_type="text/plain; version=0.0.4")
-                await exchange.respond(200, kind, self._render_metrics())
+                content_type = Headers.of(content_type="text/plain; version=0.0.4")
+                await exchange.respond(200, content_type, self._render_metrics())
             case "POST", "/drain":
                 _log.info("drain-asked", operator=operator.name)
                 self._drain()
@@ -192,16 +211,16 @@
             case _:
                 await exchange.respond(404, Headers(), b"")
 
-    async def _put_question(
+    async def _answer_fleet_query(
         self, exchange: Exchange, operator: Operator, path: str
     ) -> None:
         if operator.customer:
             await exchange.respond(403, Headers(), b"")
             return
-        found = await self._questions[path]()
-        await _answer(exchange, msgspec.json.encode(found))
+        result = await self._fleet_queries[path]()
+        await _answer(exchange, msgspec.json.encode(result))
 
-    def _recognize(self, exchange: Exchange) -> Operator | None:
+    def _authenticate(self, exchange: Exchange) -> Operator | None:
         if self._operators is None:
             return Operator("local") if exchange.peer.startswith(_LOOPBACK) else None
         return self._operators.find(exchange.request.headers.get("authorization"))
@@ -215,11 +234,16 @@
 
 
 def _may_see(decision: Decision, customer: CustomerId | None) -> bool:
-    """Tell whether a decision concerns this customer and no other."""
+    """Return whether a decision concerns the given customer and no other.
+
+    Without a given customer every decision may be seen.
+    """
     if customer is None:
         return True
-    about = {one for one in decision.subjects if one.startswith(CUSTOMER_SUBJECT)}
-    return about == {f"{CUSTOMER_SUBJECT}{customer}"}
+    customer_subjects = {
+        subject for subject in decision.subjects if subject.startswith(CUSTOMER_SUBJECT)
+    }
+    return customer_subjects == {f"{CUSTOMER_SUBJECT}{customer}"}
 
 
 async def _answer(exchange: Exchange, body: bytes) -> None:
--- a/src/zinniaspool/node/program.py
+++ b/src/zinniaspool/node/program.py
@@ -1,4 +1,4 @@
-"""How a process starts: settings, logs, loop."""
+"""Starts a process: loads its settings, configures logs, runs its loop."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,28 +14,28 @@
 
 _Settings = TypeVar("_Settings", bound=NodeSettings)
 _BAD_SETTINGS = 2
-"""Exit status where the settings cannot be used."""
+"""Exit status if the settings cannot be used."""
 
 
 def run_program(
     program: str,
-    file: Path,
-    kind: type[_Settings],
+    settings_file: Path,
+    settings_type: type[_Settings],
     run: Callable[[_Settings], Awaitable[None]],
 ) -> None:
     """Run a process until it stops.
 
     Args:
-        program: Its name in the log.
-        file: Its settings.
-        kind: The settings' type.
-        run: Runs it; called on the loop.
+        program: Name of the program in the log.
+        settings_file: File of the settings.
+        settings_type: Type of the settings.
+        run: Runs the process; called on the event loop.
 
     Raises:
         typer.Exit: The settings cannot be used; their faults were printed.
     """
     try:
-        settings = load_settings(file, kind)
+        settings = load_settings(settings_file, settings_type)
         configure_logs(program, settings.node)
         asyncio.run(_await(run, settings))
     except SettingsError as error:
--- a/src/zinniaspool/node/tls.py
+++ b/src/zinniaspool/node/tls.py
@@ -1,37 +1,42 @@
-"""TLS of a process's addresses, by the standard library."""
+"""TLS contexts of a process's addresses, by the standard library."""
 
 import ssl
 from pathlib import Path
 
 from zinniaspool.settings import TlsFiles
 
-__all__ = ["TlsSide"]
+__all__ = ["TlsEndpoint"]
 
 
-class TlsSide:
-    """One address's certificate, its key and whom it trusts.
+class TlsEndpoint:
+    """Certificate, key and trusted authority of one address.
 
     Loading the files again changes the contexts in place: new connections
-    use the new certificate, and those that are open go on.
+    use the new certificate, and open connections continue unchanged.
 
     Args:
-        files: Where they are.
-        peers: Whether both sides are processes of ours. Such a side must
-            show a certificate of the authority, which is for peers alone;
-            its address is not looked up in the certificate, since VMs are
-            replaced at any time and their addresses with them.
+        files: Paths of the certificate, key and authority.
+        between_peers: Whether both ends are processes of this fleet. Each
+            end must then present a certificate of the authority, which
+            issues certificates for peers only. The address is not checked
+            against the certificate, since VMs and with them their addresses
+            are replaced at any time.
+
+    Attributes:
+        server: Context of the listening end.
+        client: Context of the connecting end.
 
     Raises:
         OSError: A file cannot be read or used.
     """
 
-    def __init__(self, files: TlsFiles, *, peers: bool = False) -> None:
+    def __init__(self, files: TlsFiles, *, between_peers: bool = False) -> None:
         self._files = files
         self.server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         self.client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
         for context in (self.server, self.client):
             context.minimum_version = ssl.TLSVersion.TLSv1_2
-        if peers:
+        if between_peers:
             self.client.check_hostname = False
         if files.authority_file is not None:
             self.server.verify_mode = ssl.CERT_REQUIRED
@@ -39,7 +44,7 @@
 
     @property
     def paths(self) -> tuple[Path, ...]:
-        """The files."""
+        """Paths of the files."""
         names = (
             self._files.certificate_file,
             self._files.key_file,
--- a/tests/certificates.py
+++ b/tests/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests, each set by an authority of its own."""
+"""Issues certificates for tests, each set by a new authority."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -12,7 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Certificates:
-    """Files of one authority and of a certificate that it issued."""
+    """Files of an authority and of a certificate that it issued.
+
+    Attributes:
+        files: Files of the certificate, its key and the authority.
+        authority: Certificate file of the authority.
+    """
 
     files: TlsFiles
     authority: Path
@@ -21,7 +26,13 @@
 def issue_certificates(
     folder: Path, name: str, host: str = "127.0.0.1"
 ) -> Certificates:
-    """Write an authority's certificate, and one of it with its key."""
+    """Write the certificate of a new authority, and one it issues with a key.
+
+    Args:
+        folder: Folder of the files.
+        name: First part of the files' names.
+        host: Host for which the certificate is issued.
+    """
     authority = trustme.CA()
     issued = authority.issue_cert(host)
     ca, chain, key = (folder / f"{name}-{kind}.pem" for kind in ("ca", "chain", "key"))
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Who may reach a process: credentials, secrets, TLS, all replaceable."""
+"""Credentials, peer secrets and TLS, and their replacement while running."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 from zinniaspool.http import Headers, HttpClient, HttpServer, Request, TransportError
 from zinniaspool.node.files import FileReloader, PeerSecrets
 from zinniaspool.node.operators import OperatorInterface, load_operators
-from zinniaspool.node.tls import TlsSide
+from zinniaspool.node.tls import TlsEndpoint
 from zinniaspool.peers import PeerLinks, PeerListener
 
 _ANY = Address("127.0.0.1:0")
@@ -38,38 +38,39 @@
 def test_a_replaced_credential_file_is_used_and_a_broken_one_is_not(
     tmp_path: Path,
 ) -> None:
-    """Callers keep their access while an operator replaces the file.
+    """Guards against callers losing access while a file is being replaced.
 
-    The file is replaced by a new one, then by half a file as a reader sees
-    one that is being written: the credentials loaded before must stay.
+    A reader may see half of a file that is being written. The credentials
+    loaded before must then stay in use.
     """
     path = _write(tmp_path / "c", {"callers": {"old": "care"}})
     credentials = Credentials(path)
     reloader = FileReloader(60.0)
     reloader.add(credentials)
     _write(path, {"callers": {"newer": "care"}})
-    reloader.look()
+    reloader.reload_changed()
     assert credentials.find_customer("Bearer newer") == "care"
     assert credentials.find_customer("Bearer old") is None
     with structlog.testing.capture_logs() as events:
         _write(path, '{"callers": {"half')
-        reloader.look()
-        reloader.look()
+        reloader.reload_changed()
+        reloader.reload_changed()
         path.unlink()
-        reloader.look()
+        reloader.reload_changed()
     assert [event["event"] for event in events] == ["credentials-unreadable"] * 2
     assert "half" not in str(events)
     assert credentials.find_customer("bearer newer") == "care"
 
 
 @pytest.mark.parametrize(
-    "shown", [None, "", "Bearer", "Bearer ", "Basic key", "Bearer k\xe9y", "key"]
+    "authorization",
+    [None, "", "Bearer", "Bearer ", "Basic key", "Bearer k\xe9y", "key"],
 )
-def test_what_is_no_credential_of_the_file_is_nobodys(
-    tmp_path: Path, shown: str | None
+def test_an_authorization_without_a_known_credential_finds_no_customer(
+    tmp_path: Path, authorization: str | None
 ) -> None:
     credentials = Credentials(_write(tmp_path / "c", {"callers": {"key": "care"}}))
-    assert credentials.find_customer(shown) is None
+    assert credentials.find_customer(authorization) is None
 
 
 def test_an_empty_credential_is_refused(tmp_path: Path) -> None:
@@ -77,11 +78,11 @@
         Credentials(_write(tmp_path / "c", {"callers": {"": "care"}}))
 
 
-def test_peers_accept_every_secret_of_the_file_and_show_the_first(
+def test_peers_accept_every_secret_of_the_file_and_present_the_first(
     tmp_path: Path,
 ) -> None:
     secrets = PeerSecrets(_write(tmp_path / "s", "new\nold\n"))
-    assert secrets.shown == "new"
+    assert secrets.presented == "new"
     assert [secrets.accepts(s) for s in ("new", "old", "", "x")] == [
         True,
         True,
@@ -102,18 +103,20 @@
     journal.record(2.0, kind, ("customer:rival", "request:2"), "limit")
     interface = OperatorInterface(journal, load_operators(path), lambda: b"metric 1\n")
     interface.add_section("all", lambda: "secret of rival")
-    interface.add_section("shares", lambda: {"rival": 1}, lambda who: {who: 2})
-    interface.add_view("/who", lambda operator, query: [operator.name, query["q"]])
+    interface.add_section(
+        "shares", lambda: {"rival": 1}, lambda customer: {customer: 2}
+    )
+    interface.add_query("/who", lambda operator, query: [operator.name, query["q"]])
     return interface
 
 
-async def _ask(
-    interface: OperatorInterface, asked: list[tuple[str, str, str | None]]
+async def _send_requests(
+    interface: OperatorInterface, requests: list[tuple[str, str, str | None]]
 ) -> list[tuple[int, bytes]]:
     server, client = HttpServer(interface.handle), HttpClient()
     address = await server.listen(_ANY)
     answers = []
-    for method, target, credential in asked:
+    for method, target, credential in requests:
         headers = Headers()
         if credential is not None:
             headers.add("authorization", f"Bearer {credential}")
@@ -126,7 +129,7 @@
 
 
 def test_an_operator_of_one_customer_sees_no_other_customer(tmp_path: Path) -> None:
-    asked = [
+    requests = [
         ("GET", "/dump", None),
         ("GET", "/dump", "wrong"),
         ("GET", "/dump", "all-key"),
@@ -138,78 +141,84 @@
         ("POST", "/drain", "care-key"),
         ("GET", "/who?q=x", "care-key"),
     ]
-    answers = asyncio.run(_ask(_make_interface(tmp_path), asked))
+    answers = asyncio.run(_send_requests(_make_interface(tmp_path), requests))
     statuses = [status for status, _ in answers]
     assert statuses == [401, 401, 200, 200, 200, 200, 200, 403, 403, 200]
-    whole, bound = (msgspec.json.decode(answers[k][1]) for k in (2, 3))
-    assert whole["version"] == bound["version"] == 1
-    assert whole["state"]["all"] == "secret of rival"
-    assert bound["state"]["shares"] == {"care": 2}
+    full_dump, customer_dump = (msgspec.json.decode(answers[k][1]) for k in (2, 3))
+    assert full_dump["version"] == customer_dump["version"] == 1
+    assert full_dump["state"]["all"] == "secret of rival"
+    assert customer_dump["state"]["shares"] == {"care": 2}
     assert b"rival" not in answers[3][1]
-    assert len(whole["state"]["decisions"]) == 2
+    assert len(full_dump["state"]["decisions"]) == 2
     assert msgspec.json.decode(answers[4][1])[0]["reason"] == "limit"
     assert answers[5][1] == b"[]"
     assert answers[9][1] == b'["carer","x"]'
 
 
 def test_callers_reach_a_server_by_tls_and_not_without(tmp_path: Path) -> None:
-    ours = issue_certificates(tmp_path, "a")
-    theirs = issue_certificates(tmp_path, "b")
-    side = TlsSide(ours.files.model_copy(update={"authority_file": None}))
-    trusting = ssl.create_default_context(cafile=str(ours.authority))
-    stranger = ssl.create_default_context(cafile=str(theirs.authority))
-    answers = asyncio.run(_fetch_by(side, [trusting, None, stranger]))
+    server_certificates = issue_certificates(tmp_path, "a")
+    other_certificates = issue_certificates(tmp_path, "b")
+    endpoint = TlsEndpoint(
+        server_certificates.files.model_copy(update={"authority_file": None})
+    )
+    trusting = ssl.create_default_context(cafile=str(server_certificates.authority))
+    distrusting = ssl.create_default_context(cafile=str(other_certificates.authority))
+    answers = asyncio.run(_fetch_with(endpoint, [trusting, None, distrusting]))
     assert answers[0] == (200, b"x" * 100_000)
     assert isinstance(answers[1], TransportError)
     assert isinstance(answers[2], TransportError)
 
 
-async def _fetch_by(
-    side: TlsSide, contexts: list[ssl.SSLContext | None]
+async def _fetch_with(
+    endpoint: TlsEndpoint, contexts: list[ssl.SSLContext | None]
 ) -> list[object]:
     async def answer(exchange: Any) -> None:
         await exchange.respond(200, Headers(), b"x" * 100_000)
 
-    server = HttpServer(answer, tls=side.server)
+    server = HttpServer(answer, tls=endpoint.server)
     address = await server.listen(_ANY)
-    found: list[object] = []
+    results: list[object] = []
     for context in contexts:
         client = HttpClient(tls=context)
         try:
-            found.append(await client.fetch(address, Request("GET", "/"), 5.0))
+            results.append(await client.fetch(address, Request("GET", "/"), 5.0))
         except TransportError as error:
-            found.append(error)
+            results.append(error)
         client.close()
     await server.drain(0.0)
-    return found
+    return results
 
 
 def test_peers_need_a_certificate_of_their_authority(tmp_path: Path) -> None:
-    side = TlsSide(issue_certificates(tmp_path, "a").files, peers=True)
-    stranger = TlsSide(issue_certificates(tmp_path, "b").files, peers=True)
-    heard = asyncio.run(_talk(side, [side.client, stranger.client, None]))
-    assert heard == [True, False, False]
+    endpoint = TlsEndpoint(issue_certificates(tmp_path, "a").files, between_peers=True)
+    stranger = TlsEndpoint(issue_certificates(tmp_path, "b").files, between_peers=True)
+    reached = asyncio.run(
+        _connect_with(endpoint, [endpoint.client, stranger.client, None])
+    )
+    assert reached == [True, False, False]
 
 
-async def _talk(side: TlsSide, contexts: list[ssl.SSLContext | None]) -> list[bool]:
+async def _connect_with(
+    endpoint: TlsEndpoint, contexts: list[ssl.SSLContext | None]
+) -> list[bool]:
     async def handle(hello: Hello, message: Message) -> Message:
         return Accepted(1, NodeId("answer"))
 
-    listener = PeerListener(NodeId("b"), lambda s: s == "s", handle, side.server)
+    listener = PeerListener(NodeId("b"), lambda s: s == "s", handle, endpoint.server)
     address = await listener.listen(_ANY)
     hello = Hello(
         PROTOCOL_VERSION, NodeId("a"), Incarnation(1), FailureDomainId("d"), "s"
     )
-    heard = []
+    reached = []
     for context in contexts:
         links = PeerLinks(lambda: hello, 2.0, context)
-        heard.append(await links.request(address, hello) is not None)
+        reached.append(await links.request(address, hello) is not None)
         links.close()
     listener.close()
-    return heard
+    return reached
 
 
-def test_metrics_bound_the_customers_that_have_series() -> None:
+def test_metrics_limit_the_number_of_customers_with_series() -> None:
     from zinniaspool.telemetry.metrics import Metrics
 
     journal = Journal()
@@ -225,8 +234,8 @@
     assert 'customer="c"' not in text
     assert 'zinniaspool_decisions_total{kind="group-formed"} 1.0' in text
     buckets = "zinniaspool_request_duration_buckets_total"
-    for bound, within in (("0.01", 0.0), ("0.025", 2.0), ("+Inf", 2.0)):
-        assert f'{buckets}{{customer="a",le="{bound}"}} {within}' in text
+    for upper_bound, count in (("0.01", 0.0), ("0.025", 2.0), ("+Inf", 2.0)):
+        assert f'{buckets}{{customer="a",le="{upper_bound}"}} {count}' in text
     assert "zinniaspool_open 3.0" in text
-    other = Metrics(Journal())
-    assert 'customer="a"' not in other.render().decode()
+    other_metrics = Metrics(Journal())
+    assert 'customer="a"' not in other_metrics.render().decode()
