--- a/src/zinniaspool/fleet/metrics.py
+++ b/src/zinniaspool/fleet/metrics.py
@@ -29,15 +29,15 @@
     def list_instances() -> Iterator[Sample]:
         yield Sample({}, len(view.instances))
 
-    page.count("zinniaspool_store_calls", "Calls to the store.", list_calls)
-    page.gauge(
+    page.add_counter("zinniaspool_store_calls", "Calls to the store.", list_calls)
+    page.add_gauge(
         "zinniaspool_belief_age_seconds",
         "Seconds since the fleet view was confirmed.",
         list_age,
     )
-    page.gauge(
+    page.add_gauge(
         "zinniaspool_configuration",
         "Version of the active configuration.",
         list_version,
     )
-    page.gauge("zinniaspool_instances", "Known instances.", list_instances)
+    page.add_gauge("zinniaspool_instances", "Known instances.", list_instances)
--- a/src/zinniaspool/gateway/metrics.py
+++ b/src/zinniaspool/gateway/metrics.py
@@ -42,14 +42,14 @@
     def list_opened() -> Iterator[Sample]:
         yield Sample({}, http.opened_connections)
 
-    page.count("zinniaspool_requests", "Requests by their end.", tally.list_ends)
-    page.count(
+    page.add_counter("zinniaspool_requests", "Requests by their end.", tally.list_ends)
+    page.add_counter(
         "zinniaspool_request_seconds_buckets",
         "Requests that took at most this many seconds.",
         tally.list_latencies,
     )
-    page.gauge("zinniaspool_targets", "Targets by model.", list_targets)
-    page.gauge(
+    page.add_gauge("zinniaspool_targets", "Targets by model.", list_targets)
+    page.add_gauge(
         "zinniaspool_running",
         "Requests of this process at upstreams, by model.",
         list_running,
@@ -58,17 +58,17 @@
     def list_ages() -> Iterator[Sample]:
         yield Sample({}, index.measure_peer_load_age(asyncio.get_running_loop().time()))
 
-    page.count(
+    page.add_counter(
         "zinniaspool_admissions",
         "Requests for models: admitted on time, admitted late or refused.",
-        admission_tally.list_taken,
+        admission_tally.list_admissions,
     )
-    page.count(
+    page.add_counter(
         "zinniaspool_first_event_error_seconds_buckets",
         "First events that came at most this much later than predicted.",
         admission_tally.list_errors,
     )
-    page.gauge(
+    page.add_gauge(
         "zinniaspool_peer_loads_age_seconds",
         "Age of the oldest load report of another entry process.",
         list_ages,
@@ -80,12 +80,12 @@
     def list_held() -> Iterator[Sample]:
         yield Sample({}, crashes.quarantine.quarantined_count)
 
-    page.count(
+    page.add_counter(
         "zinniaspool_upstream_crashes",
         "Upstreams that this process found to have ended.",
         list_crashes,
     )
-    page.gauge(
+    page.add_gauge(
         "zinniaspool_held_contents",
         "Request contents that are quarantined: sent to no upstream.",
         list_held,
@@ -94,12 +94,12 @@
     def list_limited() -> Iterator[Sample]:
         yield Sample({}, len(index.announced_rates))
 
-    page.gauge(
+    page.add_gauge(
         "zinniaspool_limited_upstreams",
         "Upstreams that announce how many requests a second they accept.",
         list_limited,
     )
-    page.count(
+    page.add_counter(
         "zinniaspool_connections", "Connections opened to upstreams.", list_opened
     )
     add_fleet_metrics(page, fleet_view, store)
--- a/src/zinniaspool/keeper/metrics.py
+++ b/src/zinniaspool/keeper/metrics.py
@@ -36,13 +36,15 @@
     def list_scans() -> Iterator[Sample]:
         yield Sample({}, holder.domains_scanned)
 
-    page.count(
+    page.add_counter(
         "zinniaspool_planner_domain_looks",
         "Fabric domains that the planner scanned, over all its passes.",
         list_scans,
     )
-    page.gauge("zinniaspool_groups", "Groups by model and phase.", list_groups)
-    page.count("zinniaspool_orders", "Orders sent, by action and outcome.", list_orders)
-    page.gauge("zinniaspool_holder", "Whether this process plans.", list_planning)
+    page.add_gauge("zinniaspool_groups", "Groups by model and phase.", list_groups)
+    page.add_counter(
+        "zinniaspool_orders", "Orders sent, by action and outcome.", list_orders
+    )
+    page.add_gauge("zinniaspool_holder", "Whether this process plans.", list_planning)
     add_fleet_metrics(page, fleet_view, store)
     return page
--- a/src/zinniaspool/telemetry/__init__.py
+++ b/src/zinniaspool/telemetry/__init__.py
@@ -1,7 +1,8 @@
 """What operators see of a process: logs, metrics, state dumps.
 
-The metrics' library takes a third of a process's start, so that whoever needs
-it imports :mod:`zinniaspool.telemetry.metrics` by itself.
+This package does not import :mod:`zinniaspool.telemetry.metrics`, since the
+metrics library takes a third of a process's start. Modules that need it import
+it themselves.
 """
 
 from zinniaspool.telemetry.events import LOG_EVENTS
--- a/src/zinniaspool/telemetry/events.py
+++ b/src/zinniaspool/telemetry/events.py
@@ -1,4 +1,8 @@
-"""The closed list of log events that are no decisions of the journal."""
+"""Describes the log events of all processes, except the journal's decisions.
+
+The list is complete: every event name that a process logs is either here or
+a kind of decision in the journal. The reference page is generated from it.
+"""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -15,101 +19,119 @@
         "request-refused",
     }
 )
-"""Events about single requests: their lines are the first to be dropped."""
+"""Events about single requests. Their lines are the first to be dropped when
+log lines do not fit into the buffer."""
 
 
 LOG_EVENTS: Mapping[str, str] = MappingProxyType(
     {
-        "answer-foreign": "An upstream's answer named another request; dropped.",
-        "answers-not-left": "A leaving process could not write its answers down.",
-        "brownout": "The process sheds more or fewer of the less urgent requests.",
-        "content-held": "Upstreams crashed while they had a request; what asks the "
-        "same is sent to none.",
-        "contents-cleared": "Requests held back were answered; all may be sent again.",
-        "claims-unreadable": "A value of claims in the store has another form.",
-        "keyed-call-failed": "A fault of this process ended a keyed call.",
-        "attempt-failed": "One attempt upstream failed.",
-        "callers-listening": "The callers' address is open.",
-        "configuration-unreadable": "The store holds what is no configuration.",
+        "answer-foreign": "A dropped answer of an upstream named another request.",
+        "answers-not-left": "A leaving process could not write its stored answers to "
+        "the store.",
+        "brownout": "The process changed how many of the less urgent requests it "
+        "sheds.",
+        "content-held": "Upstreams crashed while they had a request; its content is "
+        "quarantined and sent to no upstream.",
+        "contents-cleared": "Quarantined contents were answered; they may be sent "
+        "again.",
+        "claims-unreadable": "A value of claims in the store cannot be decoded.",
+        "keyed-call-failed": "An internal error of this process ended a keyed call.",
+        "attempt-failed": "One attempt of a request at an upstream failed.",
+        "callers-listening": "The process listens on its address for callers.",
+        "configuration-unreadable": "The store holds a configuration that cannot be "
+        "decoded.",
         "credentials-changed": "A credential file changed and is in use.",
         "credentials-unreadable": "A changed credential file is not usable; the "
         "credentials in use stay.",
-        "drained": "The last request ended, or was cut when the time was up.",
-        "drain-asked": "An operator asked the process to leave.",
+        "drained": "The last request ended, or was cut when the time for draining was "
+        "over.",
+        "drain-asked": "An operator requested that the process drain and leave.",
         "dump-unwritten": "A state dump could not be written.",
-        "dump-written": "A state dump was written, as a signal asked.",
-        "handler-failed": "A fault of the program in one request; its connection "
+        "dump-written": "A state dump was written on request of a signal.",
+        "handler-failed": "An internal error occurred in one request; its connection "
         "was cut.",
-        "library-message": "A library warned of something.",
-        "notice-unreadable": "A notice of a peer could not be used; dropped.",
-        "keeper-failed": "A fault of the program in one domain's care; the "
-        "process stops.",
-        "operators-listening": "The operators' address is open.",
+        "library-message": "A library logged a warning or an error.",
+        "notice-unreadable": "A peer's notice could not be decoded and was dropped.",
+        "keeper-failed": "An internal error occurred in the control of one domain; "
+        "the process stops.",
+        "operators-listening": "The process listens on its address for operators.",
         "operator-refused": "An operator's request had no accepted credential.",
         "order-unanswered": "An engine did not answer an order.",
-        "plan-not-swapped": "The store did not take a plan; it is read again.",
-        "plan-unreadable": "The store holds what is no plan.",
+        "plan-not-swapped": "The store did not accept a plan; the plan is read again.",
+        "plan-unreadable": "The store holds a plan that cannot be decoded.",
         "peer-dropped": "A peer's connection broke the protocol or was lost.",
-        "peer-handler-failed": "A fault of the program in one peer's message; its "
-        "connection was closed.",
-        "message-unknown": "A peer of a newer version sent a message unknown here.",
-        "peer-refused": "A peer showed a wrong secret or an unknown version.",
+        "peer-handler-failed": "An internal error occurred in handling a peer's "
+        "message; its connection was closed.",
+        "message-unknown": "A peer of a newer version sent a message of an unknown "
+        "type.",
+        "peer-refused": "A peer sent a wrong secret or an unknown version.",
         "peer-unreachable": "A peer could not be reached or did not answer.",
-        "peers-listening": "The peers' address is open.",
+        "peers-listening": "The process listens on its address for peers.",
         "connection-failed": "A connection ended in an error of its transport.",
-        "connection-refused": "There were too many connections open.",
+        "connection-refused": "A connection was refused because too many were open.",
         "request-failed": "A caller's request ended in an error.",
-        "request-not-admitted": "There was no room in time for a request; what was "
-        "predicted, from what, and how old that is.",
-        "request-refused": "A request broke the server's limits or HTTP.",
+        "request-not-admitted": "A request could not be served in time; the keys give "
+        "the prediction, its inputs and their age.",
+        "request-refused": "A request violated HTTP or the server's limits.",
         "store-unreachable": "The store could not be read.",
-        "upstream-ended": "A leaving service listens no more; its address may be used.",
-        "superseded": "A later start of this node is known; this one stops.",
-        "duty-failed": "A fault of the program in work that lasts; it begins again.",
-        "entry-unreadable": "An entry among the instances names none to use.",
-        "group-suspected": "A head fell silent; the VMs of its group are asked.",
-        "group-phase": "A replica group came to another phase, for this reason.",
-        "history-dropped": "The store dropped changes that were not read; all is read.",
-        "holder-changed": "Another process, or none, plans groups.",
-        "holding-provisionally": "The store is down for every VM; this process goes "
-        "on planning.",
-        "holder-lost": "This process no longer plans groups.",
-        "holder-taken": "This process plans groups from now on.",
-        "instance-gone": "An instance's entry is gone, or names none any more.",
-        "instance-reborn": "An instance has started again under its id.",
-        "target-told-silent": "Another process found a target silent; nothing new is "
-        "sent there for a moment.",
-        "instance-lost": "An instance answers nobody, though its entry is there.",
-        "instances-lost": "The holder told which instances it takes for lost, or "
-        "takes for lost no more.",
-        "instance-regained": "An instance that had counted as lost answers again.",
-        "instance-state": "An instance began to leave, or is ready.",
+        "upstream-ended": "A leaving upstream no longer listens; its address may be "
+        "reused.",
+        "superseded": "A later start of this node is known; this process stops.",
+        "duty-failed": "An internal error occurred in a background task; the task "
+        "starts again.",
+        "entry-unreadable": "An instance record in the store is not usable.",
+        "group-suspected": "A group's head is reported as stalled; its VMs are "
+        "checked.",
+        "group-phase": "A replica group entered another phase, for the reason given.",
+        "history-dropped": "The store dropped changes that were not read yet; all "
+        "keys are read again.",
+        "holder-changed": "Another process, or no process, is the holder.",
+        "holding-provisionally": "No peer reaches the store; this process goes on "
+        "planning.",
+        "holder-lost": "This process is no longer the holder.",
+        "holder-taken": "This process is the holder from now on.",
+        "instance-gone": "An instance's record was removed or is no longer usable.",
+        "instance-reborn": "An instance has restarted under its id.",
+        "target-told-silent": "Another process reported a target as stalled; this "
+        "process sends it no new requests for a short time.",
+        "instance-lost": "An instance is unreachable although its record is in the "
+        "store.",
+        "instances-lost": "The holder reported which instances are unreachable or "
+        "reachable again.",
+        "instance-regained": "An unreachable instance answers again.",
+        "instance-state": "An instance started to leave or is ready.",
         "lease-lost": "A lease ended before it was renewed.",
-        "limit-announced": "An upstream named how many requests a second it takes, "
-        "or names no limit any more.",
-        "log-lines-dropped": "So many lines were dropped until now, by class.",
-        "news-unreadable": "What a peer told of the store cannot be unpacked.",
+        "limit-announced": "An upstream announced how many requests a second it "
+        "accepts, or that it has no limit any more.",
+        "log-lines-dropped": "The number of log lines dropped since the start, by "
+        "class.",
+        "news-unreadable": "A peer's update of the store's contents cannot be decoded.",
         "order-given": "An engine was given an order, with its outcome.",
-        "node-unreachable": "Callers are not sent to an entry VM that this one does "
-        "not reach.",
-        "peer-stale": "A peer's copy of the store was too old, or it did not answer.",
-        "plan-unsaved": "The store did not take a plan; it is written again.",
-        "record-unreadable": "A record of ours in the store cannot be read.",
-        "request-ended": "A request ended: where it was sent, how often, and when.",
-        "settings-signal": "The settings file changed, as a signal says.",
+        "node-unreachable": "This entry VM cannot reach another one and does not "
+        "direct callers to it.",
+        "peer-stale": "A peer's mirror of the store was too old, or the peer did not "
+        "answer.",
+        "plan-unsaved": "The store did not accept a plan; the plan is written again.",
+        "record-unreadable": "A record that a process wrote to the store cannot be "
+        "decoded.",
+        "request-ended": "A request ended; the keys give its targets, attempts and "
+        "times.",
+        "settings-signal": "A signal announced that the settings file changed.",
         "started": "The process has started.",
         "stopped": "The process ends.",
-        "stopping": "The process was told to stop and finishes what runs.",
+        "stopping": "The process was told to stop and finishes its running requests.",
         "store-lost": "The store stopped answering.",
         "store-regained": "The store answers again.",
-        "target-gone": "A target of requests is no more.",
-        "targets-shared": "Other processes share targets with this one from now on.",
-        "record-not-removed": "The store kept what is no longer held back; its lease "
-        "ends it.",
-        "upstream-crashed": "Nobody listens any more at an upstream; what it had of "
-        "ours is suspected.",
-        "target-silent": "A group's head with requests of ours says nothing.",
-        "upstream-look-failed": "It could not be told whether a leaving upstream has "
-        "ended; it is looked at again.",
+        "target-gone": "A target was removed from this process's targets.",
+        "targets-shared": "The peers that share this process's subset of targets have "
+        "changed.",
+        "record-not-removed": "The store did not remove the record of a content that "
+        "is no longer quarantined; the record expires with its lease.",
+        "upstream-crashed": "An upstream with requests of this process no longer "
+        "listens; their contents are suspected.",
+        "target-silent": "A group's head with requests of this process is stalled.",
+        "upstream-look-failed": "A check whether a leaving upstream has ended failed; "
+        "it is repeated.",
     }
 )
+"""What each event means, by its name."""
--- a/src/zinniaspool/telemetry/logs.py
+++ b/src/zinniaspool/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event."""
+"""Configures logs: one line of key=value pairs for each event."""
 
 import logging
 import sys
@@ -16,30 +16,36 @@
 __all__ = ["configure_logs"]
 
 _log = structlog.get_logger(__name__)
-_CLASS = "_class"
-_STANDARD_OUTPUT = 1
-"""File descriptor."""
-_LONGEST_VALUE = 400
-"""Characters of one value; what callers send may be longer than any use."""
+_LINE_CLASS_KEY = "_class"
+_STANDARD_OUTPUT_FD = 1
+"""File descriptor that log lines are written to."""
+_MAX_VALUE_CHARS = 400
+"""Characters that are logged of one value. Callers may send far longer values
+than are useful in a log."""
 
-_MOST_FRAMES = 8
-"""Innermost frames that are named; the rest is the same in all."""
+_MAX_FRAMES = 8
+"""Innermost frames of an exception that are logged; the outer ones are the
+same for all exceptions."""
 
 
 def configure_logs(program: str, node: str) -> LineWriter:
-    """Send each event to standard output as one line.
+    """Write each event to standard output as one line.
+
+    Args:
+        program: Name of the program, part of each line.
+        node: Name of the node, part of each line.
 
     Returns:
-        The writer, which counts what it had to drop.
+        The writer of the lines, which counts those that it dropped.
     """
-    writer = LineWriter(_STANDARD_OUTPUT)
+    writer = LineWriter(_STANDARD_OUTPUT_FD)
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             _describe_exception,
-            _bound_values,
+            _limit_values,
             _classify,
             _render,
         ],
@@ -53,14 +59,14 @@
 
 
 class _LineLogger:
-    """What structlog gives each rendered line to."""
+    """Receives each rendered line from structlog."""
 
     def __init__(self, writer: LineWriter) -> None:
         self._writer = writer
 
-    def msg(self, line: str, kind: LineClass) -> None:
+    def msg(self, line: str, line_class: LineClass) -> None:
         """Write one line."""
-        self._writer.write(line, kind, time.monotonic())
+        self._writer.write(line, line_class, time.monotonic())
 
     debug = info = warning = error = critical = exception = msg
 
@@ -73,8 +79,8 @@
 def _classify(
     logger: Any, method: str, event: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
-    event[_CLASS] = (
-        LineClass.REQUEST if event.get("event") in REQUEST_EVENTS else LineClass.BELIEF
+    event[_LINE_CLASS_KEY] = (
+        LineClass.REQUEST if event.get("event") in REQUEST_EVENTS else LineClass.PROCESS
     )
     return event
 
@@ -82,12 +88,12 @@
 def _render(
     logger: Any, method: str, event: MutableMapping[str, Any]
 ) -> tuple[tuple[str], dict[str, LineClass]]:
-    kind = event.pop(_CLASS)
-    return (str(_logfmt(logger, method, event)),), {"kind": kind}
+    line_class = event.pop(_LINE_CLASS_KEY)
+    return (str(_logfmt(logger, method, event)),), {"line_class": line_class}
 
 
 class _LibraryHandler(logging.Handler):
-    """Makes events of what libraries log."""
+    """Logs the messages of libraries as events."""
 
     def emit(self, record: logging.LogRecord) -> None:
         _log.warning("library-message", logger=record.name, message=record.getMessage())
@@ -96,16 +102,17 @@
 def _describe_exception(
     logger: Any, method: str, event: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
-    """Name an exception's type and where it was raised.
+    """Add an exception's type and the places in the code that raised it.
 
-    Its message stays out: it may quote what a caller sent.
+    The exception's message is not logged, since it may quote data that a
+    caller sent.
     """
     if not event.pop("exc_info", None):
         return event
     error = sys.exc_info()[1]
     if error is None:
         return event
-    frames = traceback.extract_tb(error.__traceback__)[-_MOST_FRAMES:]
+    frames = traceback.extract_tb(error.__traceback__)[-_MAX_FRAMES:]
     event["exception"] = type(error).__name__
     event["frames"] = " ".join(
         f"{Path(frame.filename).name}:{frame.lineno}" for frame in frames
@@ -113,20 +120,20 @@
     return event
 
 
-def _bound_values(
+def _limit_values(
     logger: Any, method: str, event: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
     """Keep each event on one line of a bounded length.
 
-    Part of a value may come from another process, which must not be able to
-    forge a second line or to fill the log with one.
+    Part of a value may come from another process. That process must not be
+    able to forge a second line or to fill the log with a long one.
     """
     for key, value in event.items():
         if not isinstance(value, str):
             continue
         if not value.isprintable():
             value = value.encode("unicode_escape").decode("ascii")
-        if len(value) > _LONGEST_VALUE:
-            value = f"{value[:_LONGEST_VALUE]}..."
+        if len(value) > _MAX_VALUE_CHARS:
+            value = f"{value[:_MAX_VALUE_CHARS]}..."
         event[key] = value
     return event
--- a/src/zinniaspool/telemetry/metrics.py
+++ b/src/zinniaspool/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, rendered for collectors that scrape."""
+"""Collects metrics by OpenTelemetry and renders them for scraping."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -16,30 +16,35 @@
 
 __all__ = ["Metrics"]
 
-_MOST_CUSTOMERS = 64
-"""Customers with series of their own; a collector's memory grows with each."""
+_MAX_CUSTOMERS = 64
+"""Customers with series of their own; further ones share one series, since a
+collector's memory grows with every series."""
 _OTHER = "other"
+"""Label of all customers without a series of their own."""
+
 _BOUNDARIES_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60)
+"""Upper bounds of the buckets of a request's duration, in seconds."""
 
 
 class Metrics:
-    """One process's metrics.
+    """The metrics of one process.
 
-    Labels take values from closed lists and from the configuration alone,
-    never from what a caller sends, and at most so many customers have a
-    series of their own: a collector's memory grows with every series.
+    Values of labels come only from closed lists and from the configuration,
+    never from data that a caller sends, and the number of customers with a
+    series of their own is limited: a collector's memory grows with every
+    series.
 
     Requests are counted in plain numbers that the instruments read at each
-    scrape: a counter and a histogram of the library, told of each request,
-    took 31 us of some 400 us that a request costs in all.
+    scrape. Updating a counter and a histogram of the library at each request
+    took 31 us of the about 400 us that a request costs in all.
 
     Args:
-        journal: Whose decisions are counted.
+        journal: Journal whose decisions are counted.
         most_customers: Customers with series of their own.
     """
 
-    def __init__(self, journal: Journal, most_customers: int = _MOST_CUSTOMERS) -> None:
-        self._most_customers = most_customers
+    def __init__(self, journal: Journal, max_customers: int = _MAX_CUSTOMERS) -> None:
+        self._max_customers = max_customers
         self._customers: set[CustomerId] = set()
         self._registry = CollectorRegistry()
         reader = PrometheusMetricReader(
@@ -66,7 +71,7 @@
         )
 
     def add_gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
-        """Show a number that is read at each scrape."""
+        """Add a metric of one number that is read at each scrape."""
         self._meter.create_observable_gauge(
             name, [lambda options: [Observation(read())]], description=description
         )
@@ -77,15 +82,15 @@
         description: str,
         read: Callable[[], Iterable[Sample]],
         *,
-        counts: bool,
+        is_counter: bool,
     ) -> None:
-        """Show numbers with labels that are read at each scrape.
+        """Add a metric of labelled numbers that are read at each scrape.
 
         Args:
-            name: Of the metric.
-            description: What it tells.
-            read: Returns its numbers.
-            counts: Whether they only grow.
+            name: Name of the metric.
+            description: What the metric measures.
+            read: Returns the metric's samples.
+            is_counter: Whether the numbers only grow.
         """
 
         def observe(options: CallbackOptions) -> Iterable[Observation]:
@@ -93,7 +98,7 @@
                 yield Observation(sample.value, sample.labels)
 
         create = self._meter.create_observable_gauge
-        if counts:
+        if is_counter:
             create = self._meter.create_observable_counter  # type: ignore[assignment]
         create(name, [observe], description=description)
 
@@ -103,9 +108,10 @@
         """Count a request that ended.
 
         Args:
-            customer: Whose it was; None where no credential was accepted.
-            end: ``answered`` or the error's kind.
-            seconds: How long it took.
+            customer: The customer who sent the request; None where no
+                credential was accepted.
+            end: ``answered`` or the kind of the error.
+            seconds: Duration of the request.
         """
         label = self._label(customer)
         self._ends[label, end] += 1
@@ -115,7 +121,7 @@
         buckets[bisect_left(_BOUNDARIES_S, seconds)] += 1
 
     def render(self) -> bytes:
-        """Return all metrics in Prometheus' text format."""
+        """Return all metrics in the text format of Prometheus."""
         return generate_latest(self._registry)
 
     def _list_ends(self) -> Iterable[Observation]:
@@ -133,7 +139,7 @@
             return ""
         if customer in self._customers:
             return customer
-        if len(self._customers) >= self._most_customers:
+        if len(self._customers) >= self._max_customers:
             return _OTHER
         self._customers.add(customer)
         return customer
--- a/src/zinniaspool/telemetry/page.py
+++ b/src/zinniaspool/telemetry/page.py
@@ -1,4 +1,4 @@
-"""The metrics address of a process on the users' platform."""
+"""Serves the metrics of a process that runs on the users' platform."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -18,45 +18,46 @@
     name: str
     description: str
     read: Callable[[], Iterable[Sample]]
-    counts: bool
+    is_counter: bool
 
 
 class MetricsPage:
-    """Metrics of one process, rendered when somebody asks.
+    """Metrics of one process, rendered at each request for them.
 
-    The library that renders them is loaded at the first question: it would
-    make every start, and so every recovery, a tenth of a second longer.
+    The library that renders them is imported at the first request: importing
+    it at the start would make every start, and so every recovery, a tenth of
+    a second longer.
     """
 
     def __init__(self) -> None:
         self._series: list[_Series] = []
         self._render: Callable[[], bytes] | None = None
 
-    def count(
+    def add_counter(
         self, name: str, description: str, read: Callable[[], Iterable[Sample]]
     ) -> None:
-        """Add a metric that only grows."""
-        self._series.append(_Series(name, description, read, counts=True))
+        """Add a metric whose numbers only grow."""
+        self._series.append(_Series(name, description, read, is_counter=True))
 
-    def gauge(
+    def add_gauge(
         self, name: str, description: str, read: Callable[[], Iterable[Sample]]
     ) -> None:
-        """Add a metric that goes up and down."""
-        self._series.append(_Series(name, description, read, counts=False))
+        """Add a metric whose numbers rise and fall."""
+        self._series.append(_Series(name, description, read, is_counter=False))
 
     async def listen(self, address: Address) -> HttpServer:
-        """Serve the page from now on."""
+        """Start an HTTP server of the page at an address and return it."""
         server = HttpServer(self.handle)
         await server.listen(address)
         return server
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer with all metrics."""
+        """Respond to an HTTP request with all metrics."""
         headers = Headers.of(content_type=CONTENT_TYPE)
         await exchange.respond(200, headers, self.render())
 
     def render(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the text format of Prometheus."""
         if self._render is None:
             self._render = self._build()
         return self._render()
@@ -65,6 +66,11 @@
         from zinniaspool.telemetry.metrics import Metrics
 
         metrics = Metrics(Journal())
-        for one in self._series:
-            metrics.add_samples(one.name, one.description, one.read, counts=one.counts)
+        for series in self._series:
+            metrics.add_samples(
+                series.name,
+                series.description,
+                series.read,
+                is_counter=series.is_counter,
+            )
         return metrics.render
--- a/src/zinniaspool/telemetry/tallies.py
+++ b/src/zinniaspool/telemetry/tallies.py
@@ -1,4 +1,4 @@
-"""Counts in plain numbers, read when metrics are asked for."""
+"""Counts requests in plain numbers that are read when metrics are rendered."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -8,17 +8,18 @@
 
 __all__ = ["AdmissionTally", "RequestTally", "Sample"]
 
-BOUNDARIES_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0)
-"""Upper bounds of the latency buckets, in seconds: close together where the
-objectives of today's routes lie, some 0.2 to 0.4 s."""
+LATENCY_BOUNDARIES_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0)
+"""Upper bounds of the latency buckets, in seconds. They are close together
+between 0.2 and 0.4 s, where the latency objectives of today's routes lie."""
 
-ERRORS_S = (-0.2, -0.1, -0.05, -0.02, 0.0, 0.02, 0.05, 0.1, 0.2, 0.5)
-"""Upper bounds of the buckets of a first event's error, in seconds: below 0 it
-came sooner than predicted."""
+ERROR_BOUNDARIES_S = (-0.2, -0.1, -0.05, -0.02, 0.0, 0.02, 0.05, 0.1, 0.2, 0.5)
+"""Upper bounds of the buckets of a first event's prediction error, in seconds.
+The error is below 0 where the event came sooner than predicted."""
 
-MOST_SERIES = 200
-"""Combinations of labels that are kept apart; the rest count as other. Names
-of services come from the operator's rules, which may grow by hundreds."""
+MAX_SERIES = 200
+"""Combinations of labels that are counted separately; further ones count as
+``other``. Names of services come from the operator's rules, which may grow by
+hundreds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +31,7 @@
 
 
 class RequestTally:
-    """Ends and latencies of requests, by service, kind and reason."""
+    """Counts ends and latencies of requests, by service, kind and end."""
 
     def __init__(self) -> None:
         self._ends: Counter[tuple[str, str, str]] = Counter()
@@ -40,18 +41,22 @@
         """Count a request that ended.
 
         Args:
-            service: Where it went; empty for one that was not admitted.
-            kind: Its route's kind; empty likewise.
-            end: ``answered``, ``caller-left`` or an error's kind.
-            took_s: Seconds from its arrival to its end.
+            service: The service that the request was sent to; empty for a
+                request that was not admitted.
+            kind: The kind of the request's route; empty for a request that was
+                not admitted.
+            end: ``answered``, ``caller-left`` or the kind of an error.
+            took_s: Seconds from the request's arrival to its end.
         """
         key = (service, kind, end)
-        if key not in self._ends and len(self._ends) >= MOST_SERIES:
+        if key not in self._ends and len(self._ends) >= MAX_SERIES:
             key = ("other", kind, end)
         self._ends[key] += 1
         name = (key[0], kind)
-        buckets = self._latencies.setdefault(name, [0] * (len(BOUNDARIES_S) + 1))
-        buckets[bisect_left(BOUNDARIES_S, took_s)] += 1
+        buckets = self._latencies.setdefault(
+            name, [0] * (len(LATENCY_BOUNDARIES_S) + 1)
+        )
+        buckets[bisect_left(LATENCY_BOUNDARIES_S, took_s)] += 1
 
     def list_ends(self) -> Iterator[Sample]:
         """Yield the number of requests by service, kind and end."""
@@ -60,7 +65,7 @@
 
     def list_latencies(self) -> Iterator[Sample]:
         """Yield the number of requests within each latency bound."""
-        bounds = [*(f"{bound:g}" for bound in BOUNDARIES_S), "+Inf"]
+        bounds = [*(f"{bound:g}" for bound in LATENCY_BOUNDARIES_S), "+Inf"]
         for (service, kind), buckets in self._latencies.items():
             for bound, within in zip(bounds, accumulate(buckets), strict=True):
                 labels = {"service": service, "kind": kind, "le": bound}
@@ -68,34 +73,39 @@
 
 
 class AdmissionTally:
-    """How requests for models were taken, and how right predictions were."""
+    """Counts admissions of requests for models and errors of predictions."""
 
     def __init__(self) -> None:
-        self._taken: Counter[tuple[str, str]] = Counter()
+        self._admissions: Counter[tuple[str, str]] = Counter()
         self._errors: dict[str, list[int]] = {}
 
-    def add(self, model: str, taken: str) -> None:
-        """Count a request: ``on-time``, ``late`` or ``refused``."""
-        key = (model, taken)
-        if key not in self._taken and len(self._taken) >= MOST_SERIES:
-            key = ("other", taken)
-        self._taken[key] += 1
+    def add(self, model: str, outcome: str) -> None:
+        """Count a request.
+
+        Args:
+            model: The model that the request is for.
+            outcome: ``on-time``, ``late`` or ``refused``.
+        """
+        key = (model, outcome)
+        if key not in self._admissions and len(self._admissions) >= MAX_SERIES:
+            key = ("other", outcome)
+        self._admissions[key] += 1
 
     def add_error(self, model: str, error_s: float) -> None:
         """Count by how much a first event came later than predicted."""
-        if model not in self._errors and len(self._errors) >= MOST_SERIES:
+        if model not in self._errors and len(self._errors) >= MAX_SERIES:
             model = "other"
-        buckets = self._errors.setdefault(model, [0] * (len(ERRORS_S) + 1))
-        buckets[bisect_left(ERRORS_S, error_s)] += 1
+        buckets = self._errors.setdefault(model, [0] * (len(ERROR_BOUNDARIES_S) + 1))
+        buckets[bisect_left(ERROR_BOUNDARIES_S, error_s)] += 1
 
-    def list_taken(self) -> Iterator[Sample]:
-        """Yield the number of requests by model and how they were taken."""
-        for (model, taken), count in self._taken.items():
-            yield Sample({"model": model, "taken": taken}, count)
+    def list_admissions(self) -> Iterator[Sample]:
+        """Yield the number of requests by model and outcome of admission."""
+        for (model, outcome), count in self._admissions.items():
+            yield Sample({"model": model, "taken": outcome}, count)
 
     def list_errors(self) -> Iterator[Sample]:
-        """Yield the number of first events within each bound of error."""
-        bounds = [*(f"{bound:g}" for bound in ERRORS_S), "+Inf"]
+        """Yield the number of first events within each bound of the error."""
+        bounds = [*(f"{bound:g}" for bound in ERROR_BOUNDARIES_S), "+Inf"]
         for model, buckets in self._errors.items():
             for bound, within in zip(bounds, accumulate(buckets), strict=True):
                 yield Sample({"model": model, "le": bound}, within)
--- a/src/zinniaspool/telemetry/traces.py
+++ b/src/zinniaspool/telemetry/traces.py
@@ -1,8 +1,9 @@
-"""From a request's id to its cause, in the log lines of all processes.
+"""Finds the log lines that explain what happened to one request.
 
-The lines of the request itself name the instances and groups that it met, or
-the model that nobody could serve. What the other processes then wrote about
-these, shortly before, is why.
+The input is the log lines of all processes. The lines that name the request
+also name the instances and groups that it was sent to, or the model that no
+upstream could serve. Lines that other processes wrote about these shortly
+before give the cause.
 """
 
 import re
@@ -12,20 +13,24 @@
 
 __all__ = ["LogLine", "Trace", "parse_line", "trace_request"]
 
-BEFORE_S = 8.0
-"""How long before a request's first line a cause is looked for, in seconds: a
-group that loads weights is out for longer, but is named when it began to."""
+LOOK_BACK_S = 8.0
+"""Seconds before a request's first line in which its cause is searched for.
+A group that loads weights is unavailable for longer, but the line that names
+the group is written when the loading starts."""
 
-AFTER_S = 1.0
-"""The same after its last line, in seconds: what is lost is noticed by others
-a moment later, and clocks of VMs differ."""
+LOOK_AHEAD_S = 1.0
+"""Seconds after a request's last line in which its cause is searched for.
+Other processes notice an unreachable instance a moment later, and clocks of
+VMs differ."""
 
-DROPPED = "log-lines-dropped"
+LINES_DROPPED_EVENT = "log-lines-dropped"
+"""Event by which a process reports that its log lacks lines."""
 
-_UNSERVED = frozenset({"no-upstream", "upstream-refused"})
-"""Ends of requests that met no group: their model's groups tell why."""
+_UNSERVED_ENDS = frozenset({"no-upstream", "upstream-refused"})
+"""Ends of requests that were sent to no group. The lines about the groups of
+their model give the cause."""
 
-_FLEET = frozenset(
+_FLEET_EVENTS = frozenset(
     {
         "group-phase",
         "group-suspected",
@@ -38,9 +43,9 @@
         "target-told-silent",
     }
 )
-"""Events about groups and instances, whichever process wrote them."""
+"""Events about groups and instances; they count from every process."""
 
-_OWN = frozenset(
+_PROCESS_EVENTS = frozenset(
     {
         "configuration-in-force",
         "holder-changed",
@@ -50,10 +55,11 @@
         "stopping",
         "store-lost",
         "store-regained",
-        DROPPED,
+        LINES_DROPPED_EVENT,
     }
 )
-"""Events about the process that had the request."""
+"""Events about a process itself; they count from processes that handled the
+request."""
 
 _FIELD = re.compile(r'([\w-]+)=("(?:[^"\\]|\\.)*"|\S*)')
 
@@ -63,32 +69,33 @@
     """One event as a process wrote it.
 
     Attributes:
-        at: Seconds since the epoch, by its VM's clock.
-        node: Its VM.
-        program: Its program.
-        event: What happened.
-        fields: The rest, by name.
+        logged_at: Seconds since the epoch, by the clock of the VM.
+        node: Node that wrote the line.
+        program: Program that wrote the line.
+        event: Name of the event.
+        fields: The other values of the line, by key.
     """
 
-    at: float
+    logged_at: float
     node: str
     program: str
     event: str
     fields: dict[str, str]
 
     def __str__(self) -> str:
-        when = datetime.fromtimestamp(self.at, UTC).strftime("%H:%M:%S.%f")[:-3]
+        when = datetime.fromtimestamp(self.logged_at, UTC).strftime("%H:%M:%S.%f")[:-3]
         values = " ".join(f"{name}={value}" for name, value in self.fields.items())
         return f"{when} {self.node}/{self.program} {self.event} {values}"
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """What the lines tell of one request.
+    """The log lines that concern one request.
 
     Attributes:
-        lines: In the order of their times.
-        dropped: Lines that the processes concerned say they left out.
+        lines: The lines, ordered by time.
+        dropped: Lines by which the processes that handled the request report
+            that they dropped log lines.
     """
 
     lines: list[LogLine]
@@ -96,9 +103,9 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a line's event, or None for what is none of ours.
+    """Parse a log line; return None for text that is not such a line.
 
-    Collectors may put something of their own before it.
+    Collectors may put a prefix of their own in front of the line.
     """
     start = text.find("timestamp=")
     if start < 0:
@@ -118,49 +125,58 @@
 
 
 def trace_request(lines: Iterable[LogLine], request: str) -> Trace:
-    """Return the lines that tell what became of a request, and why."""
-    known = sorted(lines, key=lambda line: line.at)
-    own = [line for line in known if line.fields.get("request") == request]
+    """Return the lines that show what happened to a request, and why."""
+    ordered = sorted(lines, key=lambda line: line.logged_at)
+    own = [line for line in ordered if line.fields.get("request") == request]
     if not own:
         return Trace([], [])
-    begins, ends = own[0].at - BEFORE_S, own[-1].at + AFTER_S
+    begins, ends = own[0].logged_at - LOOK_BACK_S, own[-1].logged_at + LOOK_AHEAD_S
     nodes = {line.node for line in own}
-    met = _list_met(own)
-    near = [line for line in known if begins <= line.at <= ends]
-    told = [
+    subjects = _list_subjects(own)
+    near = [line for line in ordered if begins <= line.logged_at <= ends]
+    related = [
         line
         for line in near
         if line.fields.get("request") == request
-        or (line.event in _FLEET and _is_about(line, met))
-        or (line.node in nodes and _is_of_process(line, met))
+        or (line.event in _FLEET_EVENTS and _is_about(line, subjects))
+        or (line.node in nodes and _is_of_process(line, subjects))
     ]
-    dropped = [line for line in told if line.event == DROPPED]
-    return Trace(told, dropped)
+    dropped = [line for line in related if line.event == LINES_DROPPED_EVENT]
+    return Trace(related, dropped)
 
 
-def _list_met(own: Iterable[LogLine]) -> set[str]:
-    """Return the instances and groups that a request met, or its model."""
-    met: set[str] = set()
+def _list_subjects(own: Iterable[LogLine]) -> set[str]:
+    """Return a request's instances and groups, and its model if unserved.
+
+    These are the instances and groups that the request was sent to. The model
+    is included only where the request ended without an upstream to serve it.
+    """
+    subjects: set[str] = set()
     for line in own:
-        met |= {line.fields.get("instance", ""), line.fields.get("group", "")}
-        if line.fields.get("end") in _UNSERVED:
-            met.add(line.fields.get("model", ""))
-    return met - {""}
+        subjects |= {line.fields.get("instance", ""), line.fields.get("group", "")}
+        if line.fields.get("end") in _UNSERVED_ENDS:
+            subjects.add(line.fields.get("model", ""))
+    return subjects - {""}
 
 
-def _is_of_process(line: LogLine, met: set[str]) -> bool:
-    """Tell whether a line of the request's own process may concern it.
+def _is_of_process(line: LogLine, subjects: set[str]) -> bool:
+    """Return whether a line of a request's process may concern the request.
 
-    Each process says of each target when it is no more; one that the request
-    met may be why it went on elsewhere.
+    Each process logs each target that it removes. The removal of a target that
+    the request was sent to may be the reason why the request was rerouted.
     """
-    return line.event in _OWN or (line.event == "target-gone" and _is_about(line, met))
+    return line.event in _PROCESS_EVENTS or (
+        line.event == "target-gone" and _is_about(line, subjects)
+    )
 
 
-def _is_about(line: LogLine, met: set[str]) -> bool:
-    if line.fields.get("standby") == "true" and line.fields.get("group") not in met:
-        # Idle VMs that hold a model take no requests.
+def _is_about(line: LogLine, subjects: set[str]) -> bool:
+    if (
+        line.fields.get("standby") == "true"
+        and line.fields.get("group") not in subjects
+    ):
+        # A standby VM has a model loaded but receives no requests.
         return False
     values = set(line.fields.values())
     members = set(line.fields.get("members", "").split(","))
-    return not met.isdisjoint(values | members)
+    return not subjects.isdisjoint(values | members)
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -223,7 +223,7 @@
 
     journal = Journal()
     journal.record(1.0, DecisionKind.GROUP_FORMED, (), "")
-    metrics = Metrics(journal, most_customers=2)
+    metrics = Metrics(journal, max_customers=2)
     for name in ("a", "b", "c", "d", "a"):
         metrics.observe_request(CustomerId(name), "answered", 0.02)
     metrics.observe_request(None, "bad-credential", 0.001)
--- a/tests/test_log_lines.py
+++ b/tests/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines never hold up a process, and the ones that matter stay."""
+"""Log lines never block a process, and the most important lines stay."""
 
 import os
 
@@ -17,18 +17,18 @@
 
 
 def test_a_reader_that_never_reads_holds_nothing_up() -> None:
-    """Callers would wait for as long as the log's reader sleeps.
+    """A full pipe must not make callers wait until the log's reader reads.
 
-    Its pipe fills up. The writer keeps a bounded number of lines and counts
-    what it drops; once the pipe is read again it says how many they were.
+    The writer keeps a bounded number of bytes and counts the lines that it
+    drops. Once the pipe is read again, the writer logs how many it dropped.
     """
     reader, descriptor = os.pipe()
-    writer = LineWriter(descriptor, per_s=1e9)
+    writer = LineWriter(descriptor, request_lines_per_s=1e9)
     for number in range(20_000):
         writer.write(f"event=request-ended n={number} {'x' * 80}", LineClass.REQUEST, 0)
-    writer.write("event=store-lost", LineClass.BELIEF, 0)
+    writer.write("event=store-lost", LineClass.PROCESS, 0)
     assert writer.dropped[LineClass.REQUEST] > 0
-    assert writer.dropped[LineClass.BELIEF] == 0
+    assert writer.dropped[LineClass.PROCESS] == 0
     text = b""
     while part := read_all(reader):
         text += part
@@ -38,23 +38,23 @@
     assert len(text) < 512 * 1024
 
 
-def test_a_flood_of_requests_leaves_lines_of_beliefs() -> None:
-    """A storm of refusals must not push out why it began."""
+def test_a_flood_of_request_lines_keeps_the_lines_of_the_process() -> None:
+    """A flood of refusals must not push out the lines that give its cause."""
     reader, descriptor = os.pipe()
-    writer = LineWriter(descriptor, per_s=10.0)
+    writer = LineWriter(descriptor, request_lines_per_s=10.0)
     for number in range(1000):
         writer.write(f"event=request-refused n={number}", LineClass.REQUEST, 5.0)
         if number % 100 == 0:
-            writer.write("event=group-phase", LineClass.BELIEF, 5.0)
+            writer.write("event=group-phase", LineClass.PROCESS, 5.0)
     text = read_all(reader)
     assert text.count(b"event=group-phase") == 10
     assert text.count(b"event=request-refused") == 20
     assert writer.dropped == {LineClass.REQUEST: 980}
 
 
-def test_a_reader_that_is_gone_ends_nothing() -> None:
+def test_a_reader_that_has_closed_the_pipe_causes_no_error() -> None:
     reader, descriptor = os.pipe()
     os.close(reader)
     writer = LineWriter(descriptor)
-    writer.write("event=started", LineClass.BELIEF, 0.0)
-    writer.write("event=stopped", LineClass.BELIEF, 0.0)
+    writer.write("event=started", LineClass.PROCESS, 0.0)
+    writer.write("event=stopped", LineClass.PROCESS, 0.0)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -1,4 +1,4 @@
-"""What an operator does to one process: look into it, stop it."""
+"""An operator inspects and drains a process; its logs leak no secrets."""
 
 import asyncio
 import json
@@ -22,17 +22,17 @@
 _PROMPT = "text of a caller"
 _PAGE = (Path(__file__).parent.parent / "docs/operators.md").read_text()
 _SERVED_LATER = "zinniaspool_decisions_total"
-"""Counts nothing, and is not served, before the first decision."""
+"""A metric that is not served before the first decision is counted."""
 
 _LINE = re.compile(r"timestamp=\S+ level=[a-z]+ event=[a-z-]+( [a-z_]+=(\S*|\".*\"))*")
 
 
 @pytest.mark.parametrize("program", ["entry", "control"])
 def test_a_process_shows_its_state_and_drains(tmp_path: Path, program: str) -> None:
-    """An operator looks into a process in three ways and ends it.
+    """An operator reads dumps and metrics of a process and drains it.
 
-    The store cannot be reached meanwhile: none of this may need it. The log
-    holds one key=value line an event, and nothing that is secret.
+    The store is unreachable meanwhile, and none of this may need it. The log
+    has one line of key=value pairs for each event and contains no secrets.
     """
     fleet = Fleet(tmp_path)
     operators, callers = fleet.make_address(), fleet.make_address()
@@ -53,7 +53,7 @@
         accepted = {"callers": {_CALLER_KEY: "care"}}
         settings["caller_address"] = callers
         settings["credentials_file"] = fleet.write("callers", accepted)
-    asked = [
+    arguments = [
         "--node",
         operators,
         "--credential-file",
@@ -74,10 +74,10 @@
         (dump,) = tmp_path.glob("zinniaspool-*.json")
         assert json.loads(dump.read_text())["version"] == by_http["version"]
         assert dump.stat().st_mode & 0o077 == 0
-        shown = fleet.run_tool("dump", *asked)
+        shown = fleet.run_tool("dump", *arguments)
         assert json.loads(shown.stdout)[operators]["version"] == by_http["version"]
         assert fleet.run_tool("dump", "--node", operators).returncode == 1
-        drained = fleet.run_tool("drain", *asked, "--wait", "30")
+        drained = fleet.run_tool("drain", *arguments, "--wait", "30")
         assert drained.stdout.endswith("ended\n"), drained.stderr
         wait_until(lambda: fleet.has_ended("it"))
     finally:
@@ -101,11 +101,11 @@
     return {name for name, programs in rows if program in programs.split(", ")}
 
 
-def test_each_address_of_a_process_takes_tls(tmp_path: Path) -> None:
-    """Operators and callers trust the authority; without TLS nobody enters."""
+def test_each_address_of_a_process_uses_tls(tmp_path: Path) -> None:
+    """Operators and callers connect over TLS only and trust the authority."""
     fleet = Fleet(tmp_path)
-    ours = issue_certificates(tmp_path, "ours", fleet.host)
-    plain = ours.files.model_dump(exclude={"authority_file"})
+    issued = issue_certificates(tmp_path, "ours", fleet.host)
+    plain = issued.files.model_dump(exclude={"authority_file"})
     operators, callers = fleet.make_address(), fleet.make_address()
     settings = {
         "node": "it",
@@ -119,15 +119,15 @@
         "credentials_file": fleet.write("callers", {"callers": {_CALLER_KEY: "care"}}),
         "caller_tls": plain,
         "operator_tls": plain,
-        "peer_tls": ours.files.model_dump(),
+        "peer_tls": issued.files.model_dump(),
     }
-    trusted = ("--authority-file", str(ours.authority))
-    asked = ("dump", "--node", operators)
+    trusted = ("--authority-file", str(issued.authority))
+    arguments = ("dump", "--node", operators)
     try:
         fleet.start_node("entry", "it", settings)
-        wait_until(lambda: fleet.run_tool(*asked, *trusted).returncode == 0)
-        assert fleet.run_tool(*asked).returncode == 1
-        context = ssl.create_default_context(cafile=str(ours.authority))
+        wait_until(lambda: fleet.run_tool(*arguments, *trusted).returncode == 0)
+        assert fleet.run_tool(*arguments).returncode == 1
+        context = ssl.create_default_context(cafile=str(issued.authority))
         status, body = asyncio.run(_fetch(callers, context))
         assert (status, b"not-ready" in body) == (503, True)
     finally:
@@ -142,7 +142,7 @@
         client.close()
 
 
-def test_a_process_with_faulty_settings_names_them_all_and_ends(
+def test_a_process_with_invalid_settings_logs_them_all_and_ends(
     tmp_path: Path,
 ) -> None:
     fleet = Fleet(tmp_path)
@@ -155,10 +155,10 @@
         assert f"it.json:1: {key}: found" in fleet.read_log("it")
 
 
-def test_what_a_caller_sent_stays_out_of_the_log(
+def test_data_of_a_caller_is_not_logged(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    """A fault's message may quote it, and a value may hold a second line."""
+    """An exception's message may quote it; a value may contain a line end."""
     configure_logs("entry", "n")
     log = structlog.get_logger()
     try:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, in collected log lines."""
+"""A trace of a request shows the log lines that give its cause."""
 
 from pathlib import Path
 
@@ -11,24 +11,27 @@
 
 
 def make_line(second: float, node: str, event: str, **fields: str) -> str:
-    at = f"2026-01-02T03:04:{second:09.6f}Z"
+    timestamp = f"2026-01-02T03:04:{second:09.6f}Z"
     values = " ".join(f"{name}={value}" for name, value in fields.items())
-    return f"timestamp={at} level=info event={event} {values} node={node} program=entry"
+    return (
+        f"timestamp={timestamp} level=info event={event} {values} "
+        f"node={node} program=entry"
+    )
 
 
-def read(*lines: str) -> list[LogLine]:
-    return [one for one in map(parse_line, lines) if one is not None]
+def parse_lines(*lines: str) -> list[LogLine]:
+    return [line for line in map(parse_line, lines) if line is not None]
 
 
 def list_events(request: str, *lines: str) -> list[str]:
-    return [line.event for line in trace_request(read(*lines), request).lines]
+    return [line.event for line in trace_request(parse_lines(*lines), request).lines]
 
 
-def test_a_refusal_is_led_back_to_the_loss_of_its_models_group() -> None:
-    """A caller was told that nobody serves its model.
+def test_the_trace_of_a_refusal_shows_that_its_models_group_ended() -> None:
+    """A caller's request was refused since no upstream serves its model.
 
-    The group's phases stand in the holder's log, the loss in the reason.
-    Another model's groups are not shown.
+    The phases of the model's group are in the holder's log, and their reason
+    gives the cause. Groups of other models are not shown.
     """
     found = list_events(
         "r1",
@@ -42,7 +45,7 @@
     assert found == ["group-phase", "request-ended"]
 
 
-def test_a_moved_stream_is_led_back_to_the_silent_head() -> None:
+def test_the_trace_of_a_rerouted_stream_shows_the_stalled_head() -> None:
     found = list_events(
         "r1",
         make_line(5.0, "n1", "target-silent", instance="i1", quiet_ms="260"),
@@ -58,10 +61,10 @@
     assert found == ["target-silent", "attempt-failed", "group-phase", "request-ended"]
 
 
-def test_what_the_process_itself_went_through_is_shown() -> None:
-    """The outcome is unknown since the process lost its connections.
+def test_the_trace_shows_events_of_the_requests_process() -> None:
+    """The outcome is unknown because the process lost its connections.
 
-    Other processes' troubles with the store are not this request's.
+    Lines of other processes about the store do not concern this request.
     """
     found = list_events(
         "r1",
@@ -83,7 +86,7 @@
 
 
 def test_the_command_reads_files_and_pipes(tmp_path: Path) -> None:
-    """An engineer sees the story, and that lines are missing from it."""
+    """The command shows the trace and reports that lines are missing."""
     text = "\n".join(
         [
             make_line(5.0, "n1", "log-lines-dropped", request="7"),
