--- a/src/zinniaspool/cli/checking.py
+++ b/src/zinniaspool/cli/checking.py
@@ -11,10 +11,10 @@
     Document,
     EntrySettings,
     FileFault,
-    Part,
+    LoadedFile,
     SettingsError,
     check_document,
-    check_parts,
+    check_loaded_files,
     list_keys,
     load_document,
 )
@@ -34,15 +34,15 @@
     together are also checked against each other.
     """
     faults: list[FileFault] = []
-    parts: dict[type[Any], Part[Any]] = {}
+    parts: dict[type[Any], LoadedFile[Any]] = {}
     for file in files:
         try:
             document = load_document(file)
             kind = _recognize(document)
-            parts[kind] = Part(document, check_document(document, kind))
+            parts[kind] = LoadedFile(document, check_document(document, kind))
         except SettingsError as error:
             faults += error.faults
-    faults += check_parts(parts.get(Inventory), parts.get(Rules))
+    faults += check_loaded_files(parts.get(Inventory), parts.get(Rules))
     for fault in faults:
         typer.echo(str(fault), err=True)
     if faults:
--- a/src/zinniaspool/settings/__init__.py
+++ b/src/zinniaspool/settings/__init__.py
@@ -1,10 +1,14 @@
-"""Settings of the processes: JSON with comments, checked whole at start."""
+"""Settings files of the processes, in JSON with comments.
 
-from zinniaspool.settings.documents import Document, read_document
+A process validates its whole settings file at the start and reports all faults
+at once. Inventories and rules are read and validated in the same way.
+"""
+
+from zinniaspool.settings.documents import Document, parse_document
 from zinniaspool.settings.faults import FileFault, SettingsError, format_key
 from zinniaspool.settings.load import (
-    Part,
-    check_parts,
+    LoadedFile,
+    check_loaded_files,
     load_configuration,
     load_document,
     load_settings,
@@ -23,15 +27,15 @@
     "EntrySettings",
     "FileFault",
     "NodeSettings",
-    "Part",
+    "LoadedFile",
     "SettingsError",
     "TlsFiles",
-    "check_parts",
+    "check_loaded_files",
     "check_document",
     "list_keys",
     "format_key",
     "load_configuration",
     "load_document",
     "load_settings",
-    "read_document",
+    "parse_document",
 ]
--- a/src/zinniaspool/settings/documents.py
+++ b/src/zinniaspool/settings/documents.py
@@ -1,10 +1,10 @@
-"""JSON with comments: its text, its values and where each value stands.
+"""Parser of JSON with comments, which finds the line of each value.
 
-Comments and trailing commas are blanked out, each by as many spaces, so that
-the standard library's parser reads the rest and every position it names is
-one of the operator's own file. Positions of values are worked out only where
-there are faults: a whole inventory is near a megabyte, and a parser that
-keeps the position of every value takes seconds over it.
+Comments and trailing commas are replaced by spaces of the same length. The
+standard library's parser reads the result, and the positions that it reports
+are positions in the operator's file. Positions of values are determined only
+if there are faults: an inventory has nearly a megabyte, and a parser that
+records the position of every value needs seconds for it.
 """
 
 import json
@@ -15,7 +15,7 @@
 
 from zinniaspool.settings.faults import FileFault, KeyPath
 
-__all__ = ["Document", "read_document"]
+__all__ = ["Document", "parse_document"]
 
 _STRING_OR_COMMENT = re.compile(
     r'"(?:[^"\\\n]|\\.)*"|//[^\n]*|/\*.*?\*/|/\*.*\Z', re.DOTALL
@@ -23,17 +23,18 @@
 _STRING_OR_COMMA = re.compile(r'"(?:[^"\\\n]|\\.)*"|,(?=\s*[\]}])', re.DOTALL)
 _NOT_LINE_BREAK = re.compile(r"[^\n]")
 _SPACE = re.compile(r"\s*")
-_MOST_DEPTH = 64
-"""Nesting of a file; deeper ones would exhaust the parser's stack."""
+_MAX_DEPTH = 64
+"""Maximum nesting of a file. Deeper nesting would exhaust the stack of the
+parser."""
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A file that parsed.
+    """A file that was parsed without faults.
 
     Attributes:
-        file: As the operator named it.
-        text: Strict JSON, each character where it stands in the file.
+        file: Path of the file, as given by the operator.
+        text: Strict JSON, each character at its position in the file.
         value: The parsed value.
     """
 
@@ -42,33 +43,40 @@
     value: Any
 
     def find_lines(self, paths: Iterable[KeyPath]) -> dict[KeyPath, int]:
-        """Return the line of each path, or of its nearest enclosing value."""
+        """Return the line of each path.
+
+        This is the line of the key or array item. If there is no value at a
+        path, it is the line of the nearest enclosing value.
+        """
         wanted: dict[Any, Any] = {}
-        asked = list(paths)
-        for path in asked:
+        requested = list(paths)
+        for path in requested:
             branch = wanted
-            for step in path:
-                branch = branch.setdefault(step, {})
+            for part in path:
+                branch = branch.setdefault(part, {})
         found: dict[KeyPath, int] = {}
-        _Locator(self.text, found).visit(0, (), wanted)
-        return {path: self._line(_find_nearest(found, path)) for path in asked}
+        _ValueLocator(self.text, found).locate(0, (), wanted)
+        return {
+            path: self._get_line_number(_find_nearest(found, path))
+            for path in requested
+        }
 
-    def _line(self, offset: int) -> int:
+    def _get_line_number(self, offset: int) -> int:
         return self.text.count("\n", 0, offset) + 1
 
 
-def read_document(file: str, text: str) -> Document | list[FileFault]:
-    """Return a document, or the faults that keep it from being one."""
+def parse_document(file: str, text: str) -> Document | list[FileFault]:
+    """Return the parsed document, or its faults if it cannot be parsed."""
     blanked = _STRING_OR_COMMENT.sub(_blank_comment, text)
     blanked = _STRING_OR_COMMA.sub(_blank_comma, blanked)
-    if _measure_depth(blanked) > _MOST_DEPTH:
+    if _measure_depth(blanked) > _MAX_DEPTH:
         return [FileFault(file, 1, "", "values nested too deeply", "a flat document")]
     repeated: list[str] = []
     try:
         value = json.loads(
             blanked,
-            object_pairs_hook=lambda pairs: _make_object(pairs, repeated),
-            parse_constant=_refuse_constant,
+            object_pairs_hook=lambda pairs: _build_object(pairs, repeated),
+            parse_constant=_reject_constant,
         )
     except json.JSONDecodeError as error:
         found = f"{error.msg} at column {error.colno}"
@@ -77,7 +85,7 @@
         return [FileFault(file, 1, "", str(error), "JSON with comments")]
     if repeated:
         return [
-            FileFault(file, line, key, "a key that stands twice", "each key once")
+            FileFault(file, line, key, "a duplicate key", "each key once")
             for key in dict.fromkeys(repeated)
             for line in _find_repeated_lines(blanked, key)
         ]
@@ -94,7 +102,7 @@
 
 
 def _measure_depth(text: str) -> int:
-    """Return how deeply values nest, brackets inside strings left out."""
+    """Return the maximum nesting of values, without brackets in strings."""
     depth = deepest = 0
     for bracket in re.findall(r'"(?:[^"\\\n]|\\.)*"|([\[{\]}])', text):
         if bracket in ("[", "{"):
@@ -105,20 +113,24 @@
     return deepest
 
 
-def _make_object(pairs: list[tuple[str, Any]], repeated: list[str]) -> dict[str, Any]:
-    made = dict(pairs)
-    if len(made) < len(pairs):
+def _build_object(pairs: list[tuple[str, Any]], repeated: list[str]) -> dict[str, Any]:
+    result = dict(pairs)
+    if len(result) < len(pairs):
         keys = [key for key, _ in pairs]
-        repeated += [key for key in made if keys.count(key) > 1]
-    return made
+        repeated += [key for key in result if keys.count(key) > 1]
+    return result
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"the number {name}")
 
 
 def _find_repeated_lines(text: str, key: str) -> list[int]:
-    """Return the lines on which a key stands, for the operator to choose."""
+    """Return all lines that contain a key.
+
+    The parser reports no position of a duplicate key, so the operator gets
+    each line that may contain it.
+    """
     pattern = re.compile(re.escape(json.dumps(key, ensure_ascii=False)) + r"\s*:")
     return [text.count("\n", 0, at.start()) + 1 for at in pattern.finditer(text)] or [1]
 
@@ -129,26 +141,38 @@
     return found.get(path, 0)
 
 
-class _Locator:
-    """Finds where wanted values stand in text that is known to be JSON."""
+class _ValueLocator:
+    """Finds the positions of wanted values in text that is valid JSON.
+
+    Args:
+        text: Strict JSON.
+        found: Receives the offset of each value that is found, by path.
+    """
 
     def __init__(self, text: str, found: dict[KeyPath, int]) -> None:
         self._text = text
         self._found = found
         self._decoder = json.JSONDecoder()
 
-    def visit(self, at: int, path: KeyPath, wanted: dict[Any, Any]) -> int:
-        """Note one value's place and return the place behind it."""
+    def locate(self, at: int, path: KeyPath, wanted: dict[Any, Any]) -> int:
+        """Record the offset of a value and return the offset behind it.
+
+        Args:
+            at: Offset at or before the value, separated from it only by space.
+            path: Path of the value.
+            wanted: Tree of the wanted paths below the value; where it is
+                empty, the value is skipped as a whole.
+        """
         at = self._skip_space(at)
         self._found.setdefault(path, at)
         opening = self._text[at]
         if not wanted or opening not in "{[":
             return self._decoder.raw_decode(self._text, at)[1]
         if opening == "{":
-            return self._visit_object(at, path, wanted)
-        return self._visit_array(at, path, wanted)
+            return self._locate_in_object(at, path, wanted)
+        return self._locate_in_array(at, path, wanted)
 
-    def _visit_object(self, at: int, path: KeyPath, wanted: dict[Any, Any]) -> int:
+    def _locate_in_object(self, at: int, path: KeyPath, wanted: dict[Any, Any]) -> int:
         at = self._skip_space(at + 1)
         while self._text[at] != "}":
             key_at = at
@@ -156,17 +180,18 @@
             at = self._skip_space(at) + 1
             below = (*path, key)
             if key in wanted:
-                # The key's own place is what an operator looks for.
+                # Messages give the line of the key, not that of its value:
+                # operators look for the key.
                 self._found[below] = key_at
-            at = self.visit(at, below, wanted.get(key, {}))
+            at = self.locate(at, below, wanted.get(key, {}))
             at = self._skip_comma(at)
         return at + 1
 
-    def _visit_array(self, at: int, path: KeyPath, wanted: dict[Any, Any]) -> int:
+    def _locate_in_array(self, at: int, path: KeyPath, wanted: dict[Any, Any]) -> int:
         at = self._skip_space(at + 1)
         position = 0
         while self._text[at] != "]":
-            at = self.visit(at, (*path, position), wanted.get(position, {}))
+            at = self.locate(at, (*path, position), wanted.get(position, {}))
             at = self._skip_comma(at)
             position += 1
         return at + 1
--- a/src/zinniaspool/settings/faults.py
+++ b/src/zinniaspool/settings/faults.py
@@ -1,34 +1,34 @@
-"""What is wrong in a file that operators wrote, and where."""
+"""Faults in files that operators write, each with its position."""
 
 from dataclasses import dataclass
 
 __all__ = ["FileFault", "KeyPath", "SettingsError", "format_key"]
 
 KeyPath = tuple[str | int, ...]
-"""Keys and array positions from the top of a document to one value."""
+"""Keys and array indexes from the root of a document to a value."""
 
 
 def format_key(path: KeyPath) -> str:
-    """Return a path as operators read it: ``vms[3].address``."""
+    """Format a path for messages, such as ``vms[3].address``."""
     text = ""
-    for step in path:
-        if isinstance(step, int):
-            text += f"[{step}]"
+    for part in path:
+        if isinstance(part, int):
+            text += f"[{part}]"
         else:
-            text += f".{step}" if text else step
+            text += f".{part}" if text else part
     return text
 
 
 @dataclass(frozen=True, slots=True)
 class FileFault:
-    """One fault of one file.
+    """A fault in a file.
 
     Attributes:
-        file: As the operator named it.
-        line: From 1; 0 where the file could not be read at all.
-        key: The faulty value's path, empty for the whole document.
-        found: What stands there.
-        accepted: What may stand there instead.
+        file: Path of the file, as given by the operator.
+        line: Line number, counted from 1; 0 if the file cannot be read.
+        key: Path of the faulty value; empty for the whole document.
+        found: The faulty value, or a description of the fault.
+        accepted: Description of the values that are accepted.
     """
 
     file: str
@@ -38,13 +38,13 @@
     accepted: str
 
     def __str__(self) -> str:
-        place = f"{self.file}:{self.line}" if self.line else self.file
+        position = f"{self.file}:{self.line}" if self.line else self.file
         key = f"{self.key}: " if self.key else ""
-        return f"{place}: {key}found {self.found}; accepted: {self.accepted}"
+        return f"{position}: {key}found {self.found}; accepted: {self.accepted}"
 
 
 class SettingsError(Exception):
-    """Files that cannot be used; its text names every fault, one a line."""
+    """Files have faults. The message lists all of them, one per line."""
 
     def __init__(self, faults: list[FileFault]) -> None:
         super().__init__("\n".join(map(str, faults)))
--- a/src/zinniaspool/settings/load.py
+++ b/src/zinniaspool/settings/load.py
@@ -1,4 +1,4 @@
-"""Reading the files that operators write."""
+"""Loading of the files that operators write: settings, inventory and rules."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -14,13 +14,13 @@
     check_rules,
     validate_configuration,
 )
-from zinniaspool.settings.documents import Document, read_document
+from zinniaspool.settings.documents import Document, parse_document
 from zinniaspool.settings.faults import FileFault, SettingsError, format_key
 from zinniaspool.settings.schemas import check_document
 
 __all__ = [
-    "Part",
-    "check_parts",
+    "LoadedFile",
+    "check_loaded_files",
     "load_configuration",
     "load_document",
     "load_settings",
@@ -31,59 +31,70 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part(Generic[_T]):
-    """One of the operators' files and the value that it holds."""
+class LoadedFile(Generic[_T]):
+    """A file that an operator wrote, with its validated value.
+
+    Attributes:
+        document: The parsed file, which gives the lines of faults.
+        value: The value of the file.
+    """
 
     document: Document
     value: _T
 
 
 def load_document(path: Path) -> Document:
-    """Return a file of JSON with comments.
+    """Read and parse a file of JSON with comments.
 
     Raises:
-        SettingsError: It cannot be read or is no such file.
+        SettingsError: The file cannot be read, or is not JSON with comments.
     """
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
         found = f"no readable file ({error.strerror})"
-        raise SettingsError([_fault_file(path, found)]) from error
+        raise SettingsError([_build_unreadable_fault(path, found)]) from error
     except UnicodeDecodeError as error:
-        raise SettingsError([_fault_file(path, "bytes not of UTF-8")]) from error
-    read = read_document(str(path), text)
+        raise SettingsError(
+            [_build_unreadable_fault(path, "bytes that are not UTF-8")]
+        ) from error
+    read = parse_document(str(path), text)
     if isinstance(read, list):
         raise SettingsError(read)
     return read
 
 
 def load_settings(path: Path, kind: type[_Settings]) -> _Settings:
-    """Return the settings of a process that starts on this VM.
+    """Load the settings of a process that starts on this VM.
 
     Raises:
-        SettingsError: The file, or one that it names, holds faults.
+        SettingsError: The settings have faults, or a file that they name
+            cannot be read.
     """
     return check_document(load_document(path), kind, on_vm=True)
 
 
 def load_configuration(inventory: Path, rules: Path) -> Configuration:
-    """Return the configuration that an inventory and rules make.
+    """Load an inventory and rules as one configuration.
 
-    Both are checked, each by itself and against the other.
+    Each file is validated by itself and against the other.
 
     Raises:
-        SettingsError: They hold faults; all of them are named.
+        SettingsError: The files have faults. The error lists all of them.
     """
-    vms, rules_read, faults = _load_parts(inventory, rules)
+    vms, rules_read, faults = _load_files(inventory, rules)
     if faults or vms is None or rules_read is None:
         raise SettingsError(faults)
     return Configuration(vms.value, rules_read.value)
 
 
-def check_parts(
-    inventory: Part[Inventory] | None, rules: Part[Rules] | None
+def check_loaded_files(
+    inventory: LoadedFile[Inventory] | None, rules: LoadedFile[Rules] | None
 ) -> list[FileFault]:
-    """Return what is wrong with an inventory and rules, or with one alone."""
+    """Return the faults of an inventory and rules, or of one of them.
+
+    If both are given, they are also checked against each other.
+    """
     if inventory is not None and rules is not None:
         problems = validate_configuration(Configuration(inventory.value, rules.value))
     elif inventory is not None:
@@ -94,35 +105,37 @@
         return []
     faults = []
     if inventory is not None:
-        faults += _place_problems(problems, ProblemFile.INVENTORY, inventory.document)
+        faults += _convert_problems(problems, ProblemFile.INVENTORY, inventory.document)
     if rules is not None:
-        faults += _place_problems(problems, ProblemFile.RULES, rules.document)
+        faults += _convert_problems(problems, ProblemFile.RULES, rules.document)
     return faults
 
 
-def _load_parts(
+def _load_files(
     inventory: Path, rules: Path
-) -> tuple[Part[Inventory] | None, Part[Rules] | None, list[FileFault]]:
+) -> tuple[LoadedFile[Inventory] | None, LoadedFile[Rules] | None, list[FileFault]]:
     faults: list[FileFault] = []
-    vms = _load_part(inventory, Inventory, faults)
-    asked = _load_part(rules, Rules, faults)
-    return vms, asked, faults + check_parts(vms, asked)
+    vms = _load_file(inventory, Inventory, faults)
+    rules_read = _load_file(rules, Rules, faults)
+    return vms, rules_read, faults + check_loaded_files(vms, rules_read)
 
 
-def _load_part(path: Path, kind: type[_T], faults: list[FileFault]) -> Part[_T] | None:
+def _load_file(
+    path: Path, kind: type[_T], faults: list[FileFault]
+) -> LoadedFile[_T] | None:
     try:
         document = load_document(path)
-        return Part(document, check_document(document, kind))
+        return LoadedFile(document, check_document(document, kind))
     except SettingsError as error:
         faults += error.faults
         return None
 
 
-def _place_problems(
+def _convert_problems(
     problems: list[Problem], file: ProblemFile, document: Document
 ) -> list[FileFault]:
-    here = [problem for problem in problems if problem.file is file]
-    lines = document.find_lines(problem.path for problem in here)
+    file_problems = [problem for problem in problems if problem.file is file]
+    lines = document.find_lines(problem.path for problem in file_problems)
     return [
         FileFault(
             document.file,
@@ -131,9 +144,9 @@
             problem.found,
             problem.accepted,
         )
-        for problem in here
+        for problem in file_problems
     ]
 
 
-def _fault_file(path: Path, found: str) -> FileFault:
+def _build_unreadable_fault(path: Path, found: str) -> FileFault:
     return FileFault(str(path), 0, "", found, "a text file of JSON with comments")
--- a/src/zinniaspool/settings/schemas.py
+++ b/src/zinniaspool/settings/schemas.py
@@ -1,4 +1,4 @@
-"""Values checked against typed models, every fault at once."""
+"""Validation of documents against typed models, which reports all faults."""
 
 import dataclasses
 import difflib
@@ -20,15 +20,15 @@
 _TOO_SHORT = "too_short"
 _MISSING = frozenset({"missing"})
 _PREFIXES = ("Value error, ", "Input should be ")
-_LONGEST_FOUND = 60
-"""Characters of a faulty value that a message quotes."""
+_MAX_QUOTED_CHARS = 60
+"""Maximum number of characters of a faulty value that a message quotes."""
 
 
-class _Checked(BaseModel, Generic[_T]):
-    """Refuses unknown keys, in the dataclasses of the core as well.
+class _StrictValue(BaseModel, Generic[_T]):
+    """Wraps a value so that unknown keys are rejected in dataclasses too.
 
-    They are plain ones, which take the configuration of the model around
-    them.
+    The dataclasses of the core are plain ones. Pydantic validates them with
+    the configuration of the model that contains them.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -37,20 +37,21 @@
 
 
 def check_document(document: Document, kind: type[_T], *, on_vm: bool = False) -> _T:
-    """Return a document's value as an instance of a type.
+    """Validate the value of a document and return it as a typed instance.
 
     Args:
-        document: What was read.
+        document: The parsed file.
         kind: A pydantic model or a dataclass.
-        on_vm: Whether files that the value names must be readable here.
+        on_vm: Whether this is the VM that the value is for, so that the files
+            that it names must be readable.
 
     Raises:
-        SettingsError: It holds faults; all of them are named.
+        SettingsError: The value has faults. The error lists all of them.
     """
     text = f'{{"value":{document.text}}}'
-    checked: Any = _Checked.__class_getitem__(kind)
+    model: Any = _StrictValue.__class_getitem__(kind)
     try:
-        found = checked.model_validate_json(text, strict=True, context={"on_vm": on_vm})
+        found = model.model_validate_json(text, strict=True, context={"on_vm": on_vm})
     except ValidationError as error:
         raise SettingsError(_list_faults(document, kind, error)) from error
     value: _T = found.value
@@ -58,16 +59,16 @@
 
 
 def list_keys(kind: Any, path: KeyPath) -> list[str]:
-    """Return the keys that an object at a path may have."""
-    for step in path:
-        kind = _step_into(kind, step)
+    """Return the accepted keys of the object at a path, sorted."""
+    for part in path:
+        kind = _get_member_type(kind, part)
     return sorted(_get_fields(_strip_optional(kind)))
 
 
 def _list_faults(
     document: Document, kind: type[Any], error: ValidationError
 ) -> list[FileFault]:
-    details = _drop_followers(error.errors(include_url=False))
+    details = _drop_consequences(error.errors(include_url=False))
     paths = [tuple(fault["loc"][1:]) for fault in details]
     lines = document.find_lines(paths)
     faults = [
@@ -83,17 +84,21 @@
     return sorted(faults, key=lambda fault: fault.line)
 
 
-def _drop_followers(details: list[ErrorDetails]) -> list[ErrorDetails]:
-    """Leave out arrays that are too short only for their faulty items."""
-    places = [fault["loc"] for fault in details]
+def _drop_consequences(details: list[ErrorDetails]) -> list[ErrorDetails]:
+    """Remove "too short" faults of arrays that contain faulty items.
+
+    Faulty items do not count, so such an array may be too short only because
+    of them.
+    """
+    locations = [fault["loc"] for fault in details]
     return [
         fault
         for fault in details
         if fault["type"] != _TOO_SHORT
         or not any(
-            len(place) > len(fault["loc"])
-            and place[: len(fault["loc"])] == fault["loc"]
-            for place in places
+            len(location) > len(fault["loc"])
+            and location[: len(fault["loc"])] == fault["loc"]
+            for location in locations
         )
     ]
 
@@ -104,8 +109,8 @@
     if fault["type"] in _UNKNOWN_KEY:
         return "an unknown key"
     found = json.dumps(fault["input"], ensure_ascii=False, default=str)
-    if len(found) > _LONGEST_FOUND:
-        return found[:_LONGEST_FOUND] + "..."
+    if len(found) > _MAX_QUOTED_CHARS:
+        return found[:_MAX_QUOTED_CHARS] + "..."
     return found
 
 
@@ -115,20 +120,20 @@
     if fault["type"] in _UNKNOWN_KEY:
         keys = list_keys(kind, path[:-1])
         close = difflib.get_close_matches(str(path[-1]), keys, 1)
-        meant = f"{close[0]!r} is near; " if close else ""
-        return f"{meant}one of {', '.join(keys)}"
+        hint = f"probably {close[0]!r}; " if close else ""
+        return f"{hint}one of {', '.join(keys)}"
     message = fault["msg"]
     for prefix in _PREFIXES:
         message = message.removeprefix(prefix)
     return message
 
 
-def _step_into(kind: Any, step: str | int) -> Any:
+def _get_member_type(kind: Any, key: str | int) -> Any:
     kind = _strip_optional(kind)
-    if isinstance(step, int):
+    if isinstance(key, int):
         arguments = typing.get_args(kind)
         return arguments[0] if arguments else None
-    return _get_fields(kind).get(step)
+    return _get_fields(kind).get(key)
 
 
 def _get_fields(kind: Any) -> dict[str, Any]:
@@ -142,4 +147,4 @@
 def _strip_optional(kind: Any) -> Any:
     if typing.get_origin(kind) not in (typing.Union, types.UnionType):
         return kind
-    return next(one for one in typing.get_args(kind) if one is not type(None))
+    return next(member for member in typing.get_args(kind) if member is not type(None))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: every fault at once, each with its place."""
+"""Settings files: all faults are reported at once, each with its position."""
 
 import json
 from pathlib import Path
@@ -16,7 +16,7 @@
     SettingsError,
     check_document,
     load_settings,
-    read_document,
+    parse_document,
 )
 
 _VALUES = st.recursive(
@@ -31,29 +31,31 @@
 
 
 def _faults(text: str, kind: type[Any]) -> list[tuple[int, str, str]]:
-    read = read_document("f", text)
+    read = parse_document("f", text)
     assert isinstance(read, Document)
     with pytest.raises(SettingsError) as caught:
         check_document(read, kind)
     return [(fault.line, fault.key, fault.accepted) for fault in caught.value.faults]
 
 
-def _spell(value: Any, draw: Any) -> str:
-    """Write a value as JSON with comments and trailing commas."""
+def _format_value(value: Any, draw: Any) -> str:
+    """Format a value as JSON with comments and trailing commas."""
     noise = draw(_NOISE)
     if isinstance(value, list) and value:
-        items = [_spell(item, draw) for item in value]
+        items = [_format_value(item, draw) for item in value]
         return f"{noise}[{','.join(items)}{draw(st.sampled_from(['', ',', ', ']))}]"
     if isinstance(value, dict) and value:
-        items = [f"{json.dumps(k)}{noise}:{_spell(v, draw)}" for k, v in value.items()]
+        items = [
+            f"{json.dumps(k)}{noise}:{_format_value(v, draw)}" for k, v in value.items()
+        ]
         return f"{{{','.join(items)}{draw(st.sampled_from(['', ',']))}{noise}}}"
     return f"{noise}{json.dumps(value)}{draw(_NOISE)}"
 
 
 @given(_VALUES, st.data())
 def test_comments_and_trailing_commas_change_no_value(value: Any, data: Any) -> None:
-    text = _spell(value, data.draw)
-    read = read_document("f", text)
+    text = _format_value(value, data.draw)
+    read = parse_document("f", text)
     assert isinstance(read, Document), text
     assert read.value == value
     assert len(read.text) == len(text)
@@ -61,7 +63,7 @@
 
 @given(st.text(alphabet='{}[]",:/*\\\n0a ', max_size=60))
 def test_any_text_is_a_document_or_has_faults_with_lines(text: str) -> None:
-    read = read_document("f", text)
+    read = parse_document("f", text)
     if isinstance(read, list):
         assert read
         assert all(1 <= fault.line <= text.count("\n") + 1 for fault in read)
@@ -70,7 +72,7 @@
 @given(_VALUES, st.data())
 def test_a_value_is_found_on_its_own_line(value: Any, data: Any) -> None:
     text = json.dumps({"before": value, "wanted": [value, 7]}, indent=1)
-    read = read_document("f", data.draw(st.sampled_from(["", "// c\n"])) + text)
+    read = parse_document("f", data.draw(st.sampled_from(["", "// c\n"])) + text)
     assert isinstance(read, Document)
     lines = read.text.split("\n")
     found = read.find_lines([("wanted",), ("wanted", 1)])
@@ -80,7 +82,7 @@
 
 def test_every_fault_is_named_with_line_key_and_what_is_accepted() -> None:
     text = """{
-      // who
+      // name
       "node": "",
       "peer_adress": "10.0.0.1:1",
       "store_addresses": ["10.0.0.300:5"],
@@ -99,14 +101,14 @@
         (6, "vm_list_address"),
         (7, "lease_s"),
     ]
-    assert faults[4][2].startswith("'peer_address' is near; one of ")
+    assert faults[4][2].startswith("probably 'peer_address'; one of ")
     assert "10.0.0.1:8080" in faults[5][2]
 
 
 @pytest.mark.parametrize(
     ("text", "line", "found"),
     [
-        ('{"a": 1,\n"a": 2}', 1, "a key that stands twice"),
+        ('{"a": 1,\n"a": 2}', 1, "a duplicate key"),
         ('{"a":\n 1 2}', 2, "Expecting ',' delimiter at column 4"),
         ("[" * 5000, 1, "values nested too deeply"),
         ('{"a": NaN}', 1, "the number NaN"),
@@ -114,7 +116,7 @@
     ],
 )
 def test_text_that_is_no_document_says_where(text: str, line: int, found: str) -> None:
-    read = read_document("f", text)
+    read = parse_document("f", text)
     assert isinstance(read, list)
     assert (read[0].line, read[0].found) == (line, found)
 
