--- a/src/zinniaspool/__init__.py
+++ b/src/zinniaspool/__init__.py
@@ -1,8 +1,8 @@
 """A serving system for models whose replicas span several VMs.
 
-The package is laid out as a core without input or output
-(:mod:`zinniaspool.core`) and shells round it: one folder for each protocol
-and one composition root for each program.
+The package consists of a core that does no input or output
+(:mod:`zinniaspool.core`) and of packages around it that do: one for each
+protocol, and one composition root for each program.
 """
 
 __all__ = ["__version__"]
--- a/src/zinniaspool/cli/__init__.py
+++ b/src/zinniaspool/cli/__init__.py
@@ -1,1 +1,1 @@
-"""``zinniaspool``: the operators' command line."""
+"""The ``zinniaspool`` program: the command line for operators."""
--- a/src/zinniaspool/cli/asking.py
+++ b/src/zinniaspool/cli/asking.py
@@ -1,4 +1,7 @@
-"""Questions to the operator addresses of processes."""
+"""Sends HTTP requests to the operator addresses of processes.
+
+The commands that show, drain or wait for processes share this client.
+"""
 
 import asyncio
 import ssl
@@ -14,35 +17,46 @@
 from zinniaspool.core.ids import Address
 from zinniaspool.http import Headers, HttpClient, Request, TransportError
 
-__all__ = ["AskedProcesses", "ProcessAnswer"]
+__all__ = ["OperatorClient", "ProcessResponse"]
 
-_ANSWER_S = 5.0
-"""Seconds that a person waits for a process, which answers in milliseconds."""
-_OK = 200
-"""HTTP status."""
-_USAGE = 2
-"""Exit status for a wrong use, as shells have it."""
-_REFUSALS = {401: "the credential is not accepted", 403: "not allowed", 404: "unknown"}
+_RESPONSE_TIMEOUT_S = 5.0
+"""Seconds to wait for one process, which normally responds in milliseconds."""
+_HTTP_OK = 200
+"""HTTP status of a successful response."""
+_EXIT_USAGE = 2
+"""Exit status for wrong usage, as is conventional in shells."""
+_ERRORS_BY_STATUS = {
+    401: "the credential is not accepted",
+    403: "not allowed",
+    404: "unknown",
+}
+"""Error texts by HTTP status; other statuses are reported by number."""
 
 
 @dataclass(frozen=True, slots=True)
-class ProcessAnswer:
-    """What one process answered, or why there is no answer."""
+class ProcessResponse:
+    """The outcome of a request to one process.
+
+    Attributes:
+        address: The process's operator address.
+        result: The decoded JSON body, or why there is none.
+    """
 
     address: Address
-    answer: Result[Any, str]
+    result: Result[Any, str]
 
 
-class AskedProcesses:
-    """Several processes, asked the same at once.
+class OperatorClient:
+    """Sends the same request to several processes concurrently.
 
     Args:
-        addresses: Their operator addresses.
-        credential: File that holds the operator's credential.
-        authority: File that holds the authority of their certificates.
+        addresses: The operator addresses of the processes.
+        credential: File with the operator's credential; None sends none.
+        authority: File with the certificate of the authority that issued the
+            processes' certificates; None connects without TLS.
 
     Raises:
-        typer.Exit: A file cannot be used; the reason was printed.
+        typer.Exit: A file cannot be read or used; the reason was printed.
     """
 
     def __init__(
@@ -54,37 +68,51 @@
             self._tls = _make_tls(authority)
         except OSError as error:
             typer.echo(str(error), err=True)
-            raise typer.Exit(_USAGE) from error
+            raise typer.Exit(_EXIT_USAGE) from error
+
+    async def request_all(self, method: str, target: str) -> list[ProcessResponse]:
+        """Send a request to every process and return all outcomes.
+
+        A process that fails or doesn't respond in time has an error as its
+        outcome.
+
+        Args:
+            method: The HTTP method.
+            target: The path and query.
 
-    async def ask(self, method: str, target: str) -> list[ProcessAnswer]:
-        """Return each process's answer, in the order of the addresses."""
+        Returns:
+            One outcome for each process, in the order of the addresses.
+        """
         client = HttpClient(tls=self._tls)
         request = Request(method, target, self._headers)
         try:
-            answers = await asyncio.gather(
-                *(_ask(client, address, request) for address in self._addresses)
+            results = await asyncio.gather(
+                *(
+                    _request_json(client, address, request)
+                    for address in self._addresses
+                )
             )
         finally:
             client.close()
         return [
-            ProcessAnswer(address, answer)
-            for address, answer in zip(self._addresses, answers, strict=True)
+            ProcessResponse(address, result)
+            for address, result in zip(self._addresses, results, strict=True)
         ]
 
 
-async def _ask(
+async def _request_json(
     client: HttpClient, address: Address, request: Request
 ) -> Result[Any, str]:
     try:
-        status, body = await client.fetch(address, request, _ANSWER_S)
+        status, body = await client.fetch(address, request, _RESPONSE_TIMEOUT_S)
     except TransportError as error:
         return Err(str(error))
-    if status != _OK:
-        return Err(_REFUSALS.get(status, f"status {status}"))
+    if status != _HTTP_OK:
+        return Err(_ERRORS_BY_STATUS.get(status, f"status {status}"))
     try:
         return Ok(msgspec.json.decode(body))
     except msgspec.MsgspecError:
-        return Err("the answer is no JSON")
+        return Err("the response is not JSON")
 
 
 def _make_headers(credential: Path | None) -> Headers:
--- a/src/zinniaspool/cli/checking.py
+++ b/src/zinniaspool/cli/checking.py
@@ -1,4 +1,4 @@
-"""Commands that check files before they are used."""
+"""The command that checks configuration files before they are used."""
 
 from pathlib import Path
 from typing import Any
@@ -24,14 +24,15 @@
 commands = typer.Typer()
 
 _KINDS: tuple[type[Any], ...] = (Inventory, Rules, ControlSettings, EntrySettings)
+"""Types of files that the command can check."""
 
 
 @commands.command()
 def check(files: list[Path]) -> None:
-    """Check settings, inventory and rules; name every fault of every file.
+    """Check settings, inventory and rules; report every fault of every file.
 
-    What a file is shows from its keys. An inventory and rules that are given
-    together are also checked against each other.
+    The type of a file is recognized by its keys. An inventory and rules that
+    are given together are also checked against each other.
     """
     faults: list[FileFault] = []
     parts: dict[type[Any], LoadedFile[Any]] = {}
@@ -51,11 +52,15 @@
 
 
 def _recognize(document: Document) -> type[Any]:
-    """Return the type that shares most keys with a document."""
+    """Return the type that has the most top-level keys of a document.
+
+    Raises:
+        SettingsError: No type has any of the document's keys.
+    """
     value = document.value
-    found = set(value) if isinstance(value, dict) else set()
-    kind = max(_KINDS, key=lambda kind: len(found & set(list_keys(kind, ()))))
-    if found & set(list_keys(kind, ())):
+    keys = set(value) if isinstance(value, dict) else set()
+    kind = max(_KINDS, key=lambda kind: len(keys & set(list_keys(kind, ()))))
+    if keys & set(list_keys(kind, ())):
         return kind
     raise SettingsError(
         [
@@ -64,7 +69,7 @@
                 1,
                 "",
                 "no key of any known file",
-                "settings of a process, an inventory or rules",
+                "the settings of a process, an inventory or rules",
             )
         ]
     )
--- a/src/zinniaspool/cli/configuration.py
+++ b/src/zinniaspool/cli/configuration.py
@@ -1,4 +1,8 @@
-"""Commands that change the configuration, show its changes and undo them."""
+"""Commands that compare, apply, list and roll back configurations.
+
+The accepted configuration is in the platform's key-value store. The commands
+read and change it there; from there it spreads to the processes of the fleet.
+"""
 
 import asyncio
 import getpass
@@ -12,7 +16,7 @@
 import typer
 from result import Err, Result
 
-from zinniaspool.cli.asking import AskedProcesses
+from zinniaspool.cli.asking import OperatorClient
 from zinniaspool.cli.options import (
     AuthorityOption,
     CredentialOption,
@@ -38,23 +42,26 @@
 
 __all__ = ["commands"]
 
-_REFUSED = 1
-"""Exit status: the change was not accepted."""
-_UNUSABLE = 2
-"""Exit status: the files hold faults."""
-_LAGGING = 3
-"""Exit status: accepted, but not in force everywhere in time."""
+_EXIT_FAILED = 1
+"""Exit status: the change was not accepted, or the store failed."""
+_EXIT_UNUSABLE = 2
+"""Exit status: the files or arguments cannot be used."""
+_EXIT_LAGGING = 3
+"""Exit status: accepted, but not known to be active on all nodes in time."""
 _TAG_BYTES = 16
-"""Random bytes of a write's tag: two are the same in no fleet's life."""
+"""Random bytes of a proposal's tag: enough that no two tags are ever equal."""
 _T = TypeVar("_T")
 
 _BaseOption = Annotated[
     int | None,
-    typer.Option("--base", help="Revision that the files were made from."),
+    typer.Option("--base", help="Revision that the files are based on."),
 ]
 _WaitOption = Annotated[
     float | None,
-    typer.Option("--wait", help="Seconds to wait until every live node has it."),
+    typer.Option(
+        "--wait",
+        help="Seconds to wait until the revision is active on every live node.",
+    ),
 ]
 _NodeOption = Annotated[
     list[str] | None,
@@ -69,18 +76,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Waiting:
-    asked: AskedProcesses
-    longest_s: float
+class _WaitPlan:
+    """Which processes to poll for the accepted revision, and for how long."""
+
+    client: OperatorClient
+    timeout_s: float
 
 
 @commands.command()
 def diff(inventory: Path, rules: Path, store: StoreOption) -> None:
     """Show what applying the files would change."""
     contents = _read_files(inventory, rules)
-    current = _run(store, lambda configurations: configurations.read())
+    current = _call_store(store, lambda configurations: configurations.read())
     typer.echo(f"base revision={current.revision if current else 0}")
-    _show_difference(current.contents if current else {}, contents)
+    _show_differences(current.contents if current else {}, contents)
 
 
 @commands.command()
@@ -95,25 +104,27 @@
     authority_file: AuthorityOption = None,
 ) -> None:
     """Make an inventory and rules the accepted configuration."""
-    waiting = _plan_wait(wait, node, credential_file, authority_file)
+    wait_plan = _plan_wait(wait, node, credential_file, authority_file)
     contents = _read_files(inventory, rules)
-    current = _run(store, lambda configurations: configurations.read())
+    current = _call_store(store, lambda configurations: configurations.read())
     if base is not None and base != (current.revision if current else 0):
-        _refuse_conflict(store, Revision(base), current)
+        _fail_base_changed(store, Revision(base), current)
     if current is not None and current.contents == contents:
         typer.echo(f"unchanged revision={current.revision}")
-        _wait(waiting, current.revision)
+        _wait_until_active(wait_plan, current.revision)
         return
-    _accept(store, contents, current, "", waiting)
+    _accept(store, contents, current, "", wait_plan)
 
 
 @commands.command()
 def history(store: StoreOption) -> None:
-    """List the accepted changes that are kept, oldest first."""
-    for kept in _run(store, lambda configurations: configurations.list_history()):
-        root = kept.root
+    """List the accepted changes that the store keeps, oldest first."""
+    for past in _call_store(
+        store, lambda configurations: configurations.list_history()
+    ):
+        root = past.root
         at = datetime.fromtimestamp(root.applied_at, UTC).isoformat(timespec="seconds")
-        line = f"revision={kept.revision} number={root.number} at={at}"
+        line = f"revision={past.revision} number={root.number} at={at}"
         reason = f" reason={root.reason!r}" if root.reason else ""
         typer.echo(f"{line} author={root.author}{reason}")
 
@@ -127,14 +138,18 @@
     credential_file: CredentialOption = None,
     authority_file: AuthorityOption = None,
 ) -> None:
-    """Accept a past revision's configuration anew, as a change of its own."""
-    waiting = _plan_wait(wait, node, credential_file, authority_file)
-    past = _run(store, lambda c: c.read_revision(Revision(revision)))
+    """Accept the configuration of a past revision again, as a new change."""
+    wait_plan = _plan_wait(wait, node, credential_file, authority_file)
+    past = _call_store(
+        store, lambda configurations: configurations.read_revision(Revision(revision))
+    )
     if past is None:
-        _fail(f"revision {revision} is not kept; see: zinniaspool history", _UNUSABLE)
-    current = _run(store, lambda configurations: configurations.read())
+        _fail(
+            f"revision {revision} is not kept; see: zinniaspool history", _EXIT_UNUSABLE
+        )
+    current = _call_store(store, lambda configurations: configurations.read())
     reason = f"rollback to revision {revision}"
-    _accept(store, dict(past.contents), current, reason, waiting)
+    _accept(store, dict(past.contents), current, reason, wait_plan)
 
 
 def _accept(
@@ -142,62 +157,67 @@
     contents: dict[PartName, str],
     current: AcceptedRoot | None,
     reason: str,
-    waiting: _Waiting | None,
+    wait_plan: _WaitPlan | None,
 ) -> None:
     tag = secrets.token_hex(_TAG_BYTES)
     proposal = Proposal(tag, getpass.getuser(), contents, reason)
-    accepted = asyncio.run(_accept_once(store, proposal, current))
+    accepted = asyncio.run(_propose(store, proposal, current))
     if isinstance(accepted, Err):
-        _explain(accepted.err_value, current)
-    _show_difference(current.contents if current else {}, contents)
+        _fail_not_accepted(accepted.err_value, current)
+    _show_differences(current.contents if current else {}, contents)
     typer.echo(f"accepted revision={accepted.ok_value}")
-    _wait(waiting, accepted.ok_value)
+    _wait_until_active(wait_plan, accepted.ok_value)
 
 
-async def _accept_once(
+async def _propose(
     store: str, proposal: Proposal, base: AcceptedRoot | None
 ) -> Result[Revision, AcceptFault]:
     http = HttpClient()
     try:
-        configurations = ConfigurationStore(HttpStore(http, _split(store)))
+        configurations = ConfigurationStore(HttpStore(http, _parse_addresses(store)))
         return await configurations.accept(proposal, base)
     finally:
         http.close()
 
 
-def _explain(fault: AcceptFault, base: AcceptedRoot | None) -> NoReturn:
+def _fail_not_accepted(fault: AcceptFault, base: AcceptedRoot | None) -> NoReturn:
     if fault.fault is StoreFault.UNKNOWN:
         _fail(
-            "the store's answer was lost and could not be settled: the change may "
-            "have been accepted; see: zinniaspool history",
-            _REFUSED,
+            "the store's response was lost and the outcome is unknown: the change "
+            "may have been accepted; see: zinniaspool history",
+            _EXIT_FAILED,
         )
     if fault.fault is not StoreFault.CONFLICT:
-        _fail(f"not accepted: the store answers {fault.fault.value}", _REFUSED)
-    _show_conflict(base, fault.current)
+        _fail(f"not accepted: the store reports {fault.fault.value}", _EXIT_FAILED)
+    _fail_conflict(base, fault.current)
 
 
-def _refuse_conflict(
+def _fail_base_changed(
     store: str, base: Revision, current: AcceptedRoot | None
 ) -> NoReturn:
     past = None
     if base:
-        past = _run(store, lambda configurations: configurations.read_revision(base))
-    _show_conflict(past, current)
+        past = _call_store(
+            store, lambda configurations: configurations.read_revision(base)
+        )
+    _fail_conflict(past, current)
 
 
-def _show_conflict(base: AcceptedRoot | None, current: AcceptedRoot | None) -> NoReturn:
+def _fail_conflict(base: AcceptedRoot | None, current: AcceptedRoot | None) -> NoReturn:
     if current is not None:
         typer.echo(
             f"conflict: revision {current.revision} by {current.root.author} was "
             "accepted first; since your base it changed:",
             err=True,
         )
-        _show_difference(base.contents if base else {}, current.contents, err=True)
-    _fail("not accepted: take these changes into your files and apply again", _REFUSED)
+        _show_differences(base.contents if base else {}, current.contents, err=True)
+    _fail(
+        "not accepted: merge these changes into your files and apply again",
+        _EXIT_FAILED,
+    )
 
 
-def _show_difference(
+def _show_differences(
     before: Mapping[PartName, str], after: Mapping[PartName, str], *, err: bool = False
 ) -> None:
     for difference in compare_parts(before, after):
@@ -209,28 +229,37 @@
     nodes: Sequence[str] | None,
     credential: Path | None,
     authority: Path | None,
-) -> _Waiting | None:
+) -> _WaitPlan | None:
     if wait_s is None:
         return None
     if not nodes:
-        _fail("--wait needs --node, the operator address of any process", _UNUSABLE)
-    return _Waiting(AskedProcesses(nodes, credential, authority), wait_s)
+        _fail(
+            "--wait needs --node, the operator address of any process", _EXIT_UNUSABLE
+        )
+    return _WaitPlan(OperatorClient(nodes, credential, authority), wait_s)
 
 
-def _wait(waiting: _Waiting | None, revision: Revision) -> None:
-    if waiting is None:
+def _wait_until_active(wait_plan: _WaitPlan | None, revision: Revision) -> None:
+    if wait_plan is None:
         return
-    lag = asyncio.run(wait_for_revision(waiting.asked, revision, waiting.longest_s))
-    if lag.silent:
-        typer.echo(f"silent: {', '.join(lag.silent)}", err=True)
+    lag = asyncio.run(
+        wait_for_revision(wait_plan.client, revision, wait_plan.timeout_s)
+    )
+    if lag.unresponsive:
+        typer.echo(f"silent: {', '.join(lag.unresponsive)}", err=True)
     if lag.behind is None:
-        _fail("none of the --node addresses answers", _LAGGING)
+        _fail("no process at the --node addresses responded", _EXIT_LAGGING)
     if lag.behind:
-        _fail(f"not yet in force at: {', '.join(lag.behind)}", _LAGGING)
-    # A node that restarts without the store trusts more than half of the
-    # members: with fewer, it could come back with an older revision.
-    if lag.reached <= len(lag.silent):
-        _fail(f"in force at {lag.reached} nodes only; too many are silent", _LAGGING)
+        _fail(f"not yet in force at: {', '.join(lag.behind)}", _EXIT_LAGGING)
+    # A node that restarts while the store is unavailable uses the highest
+    # revision that it is told once more than half of the members have
+    # reported theirs. If the new revision is active on no more than half of
+    # them, the node could start with an older one.
+    if lag.reached <= len(lag.unresponsive):
+        _fail(
+            f"in force at {lag.reached} nodes only; too many are unresponsive",
+            _EXIT_LAGGING,
+        )
     typer.echo(f"in force at {lag.reached} nodes")
 
 
@@ -238,28 +267,30 @@
     try:
         configuration = load_configuration(inventory, rules)
     except SettingsError as error:
-        _fail(str(error), _UNUSABLE)
+        _fail(str(error), _EXIT_UNUSABLE)
     return split_parts(configuration)
 
 
-def _run(
+def _call_store(
     store: str,
     call: Callable[[ConfigurationStore], Awaitable[Result[_T, StoreFault]]],
 ) -> _T:
     async def run() -> Result[_T, StoreFault]:
         http = HttpClient()
         try:
-            return await call(ConfigurationStore(HttpStore(http, _split(store))))
+            return await call(
+                ConfigurationStore(HttpStore(http, _parse_addresses(store)))
+            )
         finally:
             http.close()
 
-    found = asyncio.run(run())
-    if isinstance(found, Err):
-        _fail(f"the store answers {found.err_value.value}", _REFUSED)
-    return found.ok_value
+    result = asyncio.run(run())
+    if isinstance(result, Err):
+        _fail(f"the store reports {result.err_value.value}", _EXIT_FAILED)
+    return result.ok_value
 
 
-def _split(store: str) -> tuple[Address, ...]:
+def _parse_addresses(store: str) -> tuple[Address, ...]:
     return tuple(Address(part.strip()) for part in store.split(","))
 
 
--- a/src/zinniaspool/cli/groups.py
+++ b/src/zinniaspool/cli/groups.py
@@ -1,4 +1,4 @@
-"""Commands that show the replica groups and explain what became of them."""
+"""Commands that show the replica groups and explain past decisions on them."""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 import typer
 from result import Err
 
-from zinniaspool.cli.asking import AskedProcesses
+from zinniaspool.cli.asking import OperatorClient
 from zinniaspool.cli.options import AuthorityOption, CredentialOption, NodeOption
 from zinniaspool.core.explanations import merge_decisions, restrict_decisions
 from zinniaspool.core.groups.descriptions import DomainDescription, restrict_domain
@@ -23,8 +23,8 @@
 
 commands = typer.Typer()
 
-_UNREACHED = 1
-"""Exit status: no process answered."""
+_EXIT_NO_RESPONSE = 1
+"""Exit status: no process sent a usable response."""
 
 _T = TypeVar("_T")
 
@@ -37,7 +37,7 @@
 
 
 class SubjectKind(Enum):
-    """What can be explained."""
+    """The kinds of subjects that ``explain`` can explain."""
 
     GROUP = "group"
     VM = "vm"
@@ -47,10 +47,14 @@
 
 
 class _DumpState(msgspec.Struct):
+    """The part of a process's state that describes its fabric domains."""
+
     groups: list[DomainDescription] = []
 
 
 class _Dump(msgspec.Struct):
+    """The part of a process's state dump that ``show`` reads."""
+
     state: _DumpState
 
 
@@ -63,11 +67,11 @@
     authority: AuthorityOption = None,
     customer: _CustomerOption = None,
 ) -> None:
-    """Tell what happened to a group, VM or request, when and why."""
+    """Explain what happened to a group, VM, request or model, when and why."""
     subject = f"{kind.value}:{name}"
     path = f"/explain?subject={quote(subject, safe='')}"
-    answers = _ask(node, path, credential, authority, list[Decision])
-    decisions = merge_decisions(answers)
+    decisions_by_process = _fetch(node, path, credential, authority, list[Decision])
+    decisions = merge_decisions(decisions_by_process)
     if customer is not None:
         decisions = restrict_decisions(decisions, CustomerId(customer), subject)
     if not decisions:
@@ -84,23 +88,27 @@
     authority: AuthorityOption = None,
     customer: _CustomerOption = None,
 ) -> None:
-    """Show groups, idle VMs and why each is idle, and both measures."""
-    answers = _ask(node, "/dump", credential, authority, _Dump)
-    domains = _choose_domains(answers)
+    """Show groups, why VMs are idle, shortfalls and both repair measures."""
+    dumps = _fetch(node, "/dump", credential, authority, _Dump)
+    domains = _choose_domains(dumps)
     if customer is not None:
         domains = [restrict_domain(d, CustomerId(customer)) for d in domains]
     for domain in domains:
         for line in _format_domain(domain, measures=customer is None):
             typer.echo(line)
     if not domains:
-        typer.echo("no process that was asked holds a fabric domain")
+        typer.echo("the processes report no fabric domain")
+
 
+def _choose_domains(dumps: Iterable[_Dump]) -> list[DomainDescription]:
+    """Return each domain once, sorted by name.
 
-def _choose_domains(answers: Iterable[_Dump]) -> list[DomainDescription]:
-    """Return each domain once, as its holder sees it if that was asked."""
+    The description by the domain's holder is preferred, then the one with the
+    highest epoch.
+    """
     best: dict[str, DomainDescription] = {}
-    for answer in answers:
-        for domain in answer.state.groups:
+    for dump in dumps:
+        for domain in dump.state.groups:
             known = best.get(domain.domain)
             if known is None or (domain.holds, domain.epoch) > (
                 known.holds,
@@ -112,9 +120,9 @@
 
 def _format_decision(decision: Decision) -> str:
     at = datetime.fromtimestamp(decision.at, UTC).isoformat(timespec="milliseconds")
-    others = " ".join(f"{name}={value}" for name, value in decision.fields.items())
-    about = ",".join(decision.subjects)
-    return f"{at} {decision.kind.value} {about}: {decision.reason} {others}".rstrip()
+    fields = " ".join(f"{name}={value}" for name, value in decision.fields.items())
+    subjects = ",".join(decision.subjects)
+    return f"{at} {decision.kind.value} {subjects}: {decision.reason} {fields}".rstrip()
 
 
 def _format_domain(domain: DomainDescription, *, measures: bool) -> list[str]:
@@ -128,38 +136,44 @@
         )
     lines += [f"  idle {idle.vm}: {idle.reason}" for idle in domain.idle]
     lines += [
-        f"  shortfall {lack.model} {lack.kind}: {lack.reason}"
-        for lack in domain.shortfalls
+        f"  shortfall {shortfall.model} {shortfall.kind}: {shortfall.reason}"
+        for shortfall in domain.shortfalls
     ]
     if measures:
-        found = domain.measures
+        measured = domain.measures
         lines.append(
-            f"  measures groups-down={found.groups_down}"
-            f" accelerators-stranded={found.accelerators_stranded}"
-            f" group-downtime-s={found.downtime_s:.0f}"
-            f" stranded-accelerator-s={found.stranded_s:.0f}"
+            f"  measures groups-down={measured.groups_down}"
+            f" accelerators-stranded={measured.accelerators_stranded}"
+            f" group-downtime-s={measured.downtime_s:.0f}"
+            f" stranded-accelerator-s={measured.stranded_s:.0f}"
         )
     return lines
 
 
-def _ask(
+def _fetch(
     nodes: list[str],
     target: str,
     credential: Path | None,
     authority: Path | None,
     kind: type[_T],
 ) -> list[_T]:
-    """Return what the processes that could be asked answered."""
-    asked = AskedProcesses(nodes, credential, authority)
-    answers = []
-    for one in asyncio.run(asked.ask("GET", target)):
-        if isinstance(one.answer, Err):
-            typer.echo(f"{one.address}: {one.answer.err_value}", err=True)
+    """Request a target from all processes and return the decoded responses.
+
+    Failures of single processes are printed.
+
+    Raises:
+        typer.Exit: No process sent a usable response.
+    """
+    client = OperatorClient(nodes, credential, authority)
+    decoded = []
+    for response in asyncio.run(client.request_all("GET", target)):
+        if isinstance(response.result, Err):
+            typer.echo(f"{response.address}: {response.result.err_value}", err=True)
             continue
         try:
-            answers.append(msgspec.convert(one.answer.ok_value, type=kind))
+            decoded.append(msgspec.convert(response.result.ok_value, type=kind))
         except msgspec.ValidationError as error:
-            typer.echo(f"{one.address}: {error}", err=True)
-    if not answers:
-        raise typer.Exit(_UNREACHED)
-    return answers
+            typer.echo(f"{response.address}: {error}", err=True)
+    if not decoded:
+        raise typer.Exit(_EXIT_NO_RESPONSE)
+    return decoded
--- a/src/zinniaspool/cli/main.py
+++ b/src/zinniaspool/cli/main.py
@@ -1,4 +1,4 @@
-"""Composition root of ``zinniaspool``: one module for each command family."""
+"""Composition root of ``zinniaspool``: joins the modules with its commands."""
 
 import typer
 
@@ -11,13 +11,13 @@
 
 @app.callback()
 def _describe() -> None:
-    """Drive a zinniaspool fleet."""
+    """Operate a zinniaspool fleet."""
 
 
-for _family in (checking, configuration, groups, processes, traces):
-    app.add_typer(_family.commands)
+for _module in (checking, configuration, groups, processes, traces):
+    app.add_typer(_module.commands)
 
 
 def main() -> None:
-    """Run the program."""
+    """Run the command line."""
     app()
--- a/src/zinniaspool/cli/options.py
+++ b/src/zinniaspool/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Command-line options that several commands share."""
 
 from pathlib import Path
 from typing import Annotated
@@ -12,7 +12,7 @@
     typer.Option(
         "--store",
         envvar="ZINNIASPOOL_STORE",
-        help="Address of the platform's key-value service.",
+        help="Address of the platform's key-value service, or several with commas.",
     ),
 ]
 
@@ -21,7 +21,7 @@
     typer.Option(
         "--node",
         envvar="ZINNIASPOOL_NODES",
-        help="Operator address of a process; may be given several times.",
+        help="Operator address of a process; may be repeated.",
     ),
 ]
 
@@ -30,7 +30,7 @@
     typer.Option(
         "--credential-file",
         envvar="ZINNIASPOOL_CREDENTIAL_FILE",
-        help="File that holds the operator's credential.",
+        help="File with the operator's credential.",
     ),
 ]
 
@@ -39,6 +39,6 @@
     typer.Option(
         "--authority-file",
         envvar="ZINNIASPOOL_AUTHORITY_FILE",
-        help="Authority of the processes' certificates; without it, no TLS.",
+        help="CA certificate of the processes' certificates; without it, no TLS.",
     ),
 ]
--- a/src/zinniaspool/cli/processes.py
+++ b/src/zinniaspool/cli/processes.py
@@ -1,4 +1,4 @@
-"""Commands that ask or tell the processes of a fleet."""
+"""Commands that dump the state of processes or drain them."""
 
 import asyncio
 from typing import Annotated, Any
@@ -7,15 +7,15 @@
 import typer
 from result import Err, Ok
 
-from zinniaspool.cli.asking import AskedProcesses, ProcessAnswer
+from zinniaspool.cli.asking import OperatorClient, ProcessResponse
 from zinniaspool.cli.options import AuthorityOption, CredentialOption, NodeOption
 
 __all__ = ["commands"]
 
 commands = typer.Typer()
 
-_LOOK_S = 0.2
-"""Seconds between looks whether a process has ended; chosen."""
+_POLL_INTERVAL_S = 0.2
+"""Seconds between two checks whether the drained processes have ended."""
 
 
 @commands.command()
@@ -25,15 +25,15 @@
     authority: AuthorityOption = None,
 ) -> None:
     """Print the state of processes as JSON, by operator address."""
-    asked = AskedProcesses(nodes, credential, authority)
-    answers = asyncio.run(asked.ask("GET", "/dump"))
+    client = OperatorClient(nodes, credential, authority)
+    responses = asyncio.run(client.request_all("GET", "/dump"))
     states = {
-        one.address: one.answer.ok_value
-        for one in answers
-        if isinstance(one.answer, Ok)
+        response.address: response.result.ok_value
+        for response in responses
+        if isinstance(response.result, Ok)
     }
-    typer.echo(_format(states))
-    _report_failures(answers)
+    typer.echo(_format_json(states))
+    _report_failures(responses)
 
 
 @commands.command()
@@ -42,42 +42,50 @@
     credential: CredentialOption = None,
     authority: AuthorityOption = None,
     wait_s: Annotated[
-        float, typer.Option("--wait", help="Seconds to wait for their ends.")
+        float, typer.Option("--wait", help="Seconds to wait until they have ended.")
     ] = 0.0,
 ) -> None:
-    """Have processes leave: nothing new, finish what runs, then end."""
-    asked = AskedProcesses(nodes, credential, authority)
-    answers = asyncio.run(asked.ask("POST", "/drain"))
-    _report_failures(answers)
-    typer.echo(f"draining: {', '.join(one.address for one in answers)}")
+    """Drain processes: they accept nothing new, finish what runs, then end."""
+    client = OperatorClient(nodes, credential, authority)
+    responses = asyncio.run(client.request_all("POST", "/drain"))
+    _report_failures(responses)
+    typer.echo(f"draining: {', '.join(response.address for response in responses)}")
     if not wait_s:
         return
-    left = asyncio.run(_wait_for_ends(asked, wait_s))
-    if left:
-        typer.echo(f"still running: {', '.join(left)}", err=True)
+    running = asyncio.run(_wait_for_ends(client, wait_s))
+    if running:
+        typer.echo(f"still running: {', '.join(running)}", err=True)
         raise typer.Exit(1)
     typer.echo("ended")
 
 
-async def _wait_for_ends(asked: AskedProcesses, wait_s: float) -> list[str]:
-    """Return the processes that still answer when the time is up."""
+async def _wait_for_ends(client: OperatorClient, wait_s: float) -> list[str]:
+    """Poll the processes until none responds or the time is up.
+
+    Returns:
+        The addresses of the processes that still responded last.
+    """
     loop = asyncio.get_running_loop()
-    ends = loop.time() + wait_s
+    deadline = loop.time() + wait_s
     while True:
-        answers = await asked.ask("GET", "/dump")
-        left = [str(one.address) for one in answers if isinstance(one.answer, Ok)]
-        if not left or loop.time() >= ends:
-            return left
-        await asyncio.sleep(_LOOK_S)
-
-
-def _report_failures(answers: list[ProcessAnswer]) -> None:
-    failed = [one for one in answers if isinstance(one.answer, Err)]
-    for one in failed:
-        typer.echo(f"{one.address}: {one.answer.err()}", err=True)
+        responses = await client.request_all("GET", "/dump")
+        running = [
+            str(response.address)
+            for response in responses
+            if isinstance(response.result, Ok)
+        ]
+        if not running or loop.time() >= deadline:
+            return running
+        await asyncio.sleep(_POLL_INTERVAL_S)
+
+
+def _report_failures(responses: list[ProcessResponse]) -> None:
+    failed = [response for response in responses if isinstance(response.result, Err)]
+    for response in failed:
+        typer.echo(f"{response.address}: {response.result.err()}", err=True)
     if failed:
         raise typer.Exit(1)
 
 
-def _format(value: Any) -> str:
+def _format_json(value: Any) -> str:
     return msgspec.json.format(msgspec.json.encode(value), indent=2).decode()
--- a/src/zinniaspool/cli/traces.py
+++ b/src/zinniaspool/cli/traces.py
@@ -1,4 +1,4 @@
-"""The command that leads from a request's id to its cause."""
+"""The command that finds in the logs what happened to a request, and why."""
 
 import sys
 from collections.abc import Iterator
@@ -14,50 +14,50 @@
 
 commands = typer.Typer()
 
-_UNKNOWN = 1
-"""Exit status: no line names the request."""
+_EXIT_UNKNOWN_REQUEST = 1
+"""Exit status: no log line names the request."""
 
 
 @commands.command()
 def trace(
-    request: Annotated[str, typer.Argument(help="The request's id.")],
+    request: Annotated[str, typer.Argument(help="Id of the request.")],
     logs: Annotated[
         list[Path] | None,
         typer.Argument(
-            help="Collected logs of all VMs; standard input without any.",
+            help="Collected logs of all VMs; standard input if none is given.",
             exists=True,
             dir_okay=False,
         ),
     ] = None,
 ) -> None:
-    """Tell what became of a request, and what was written about its cause."""
-    found = trace_request(_read_lines(logs or []), request)
-    if not found.lines:
+    """Show the log lines about a request and the cause of its outcome."""
+    result = trace_request(_read_lines(logs or []), request)
+    if not result.lines:
         typer.echo(f"no line names request {request}", err=True)
-        raise typer.Exit(_UNKNOWN)
+        raise typer.Exit(_EXIT_UNKNOWN_REQUEST)
     explained: set[str] = set()
-    for line in found.lines:
+    for line in result.lines:
         typer.echo(str(line))
         meaning = LOG_EVENTS.get(line.event)
         if meaning is not None and line.event not in explained:
             typer.echo(f"    {meaning}")
             explained.add(line.event)
-    if found.dropped:
+    if result.dropped:
         typer.echo(
-            f"{len(found.dropped)} times lines were dropped there: some are missing"
+            f"log lines were dropped {len(result.dropped)} times: some are missing"
         )
 
 
 def _read_lines(logs: list[Path]) -> Iterator[LogLine]:
     if not logs:
-        yield from _parse(sys.stdin)
+        yield from _parse_lines(sys.stdin)
     for path in logs:
-        with path.open(errors="replace") as text:
-            yield from _parse(text)
+        with path.open(errors="replace") as file:
+            yield from _parse_lines(file)
 
 
-def _parse(text: Iterator[str]) -> Iterator[LogLine]:
-    for one in text:
-        line = parse_line(one)
+def _parse_lines(text: Iterator[str]) -> Iterator[LogLine]:
+    for raw_line in text:
+        line = parse_line(raw_line)
         if line is not None:
             yield line
