--- a/src/zinniaspool/telemetry/metrics.py
+++ b/src/zinniaspool/telemetry/metrics.py
@@ -40,7 +40,7 @@
 
     Args:
         journal: Journal whose decisions are counted.
-        most_customers: Customers with series of their own.
+        max_customers: Customers with series of their own.
     """
 
     def __init__(self, journal: Journal, max_customers: int = _MAX_CUSTOMERS) -> None:
