--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -13,7 +13,7 @@
 from benchmarks.raw_caller import Load, run_load
 from benchmarks.rig import Rig, Side, start_rig
 
-__all__ = ["Comparison", "SHAPES", "Shape", "compare", "measure", "wait_until_serving"]
+__all__ = ["SHAPES", "Comparison", "Shape", "compare", "measure", "wait_until_serving"]
 
 _CONNECTIONS = 32
 _ROUNDS = 5
--- a/benchmarks/repair.py
+++ b/benchmarks/repair.py
@@ -25,8 +25,8 @@
 from zinniaspool.core.ids import VmId
 
 __all__ = [
-    "STRANDED_FIRST",
     "DOWNTIME_FIRST",
+    "STRANDED_FIRST",
     "Comparison",
     "PlannerWork",
     "compare",
--- a/src/zinniaspool/core/dispatch/attempts.py
+++ b/src/zinniaspool/core/dispatch/attempts.py
@@ -12,7 +12,7 @@
 
 from zinniaspool.core.errors import ErrorKind, Fault
 
-__all__ = ["AttemptFailure", "Attempts", "RetryTerms", "Progress", "RetryAllowance"]
+__all__ = ["AttemptFailure", "Attempts", "Progress", "RetryAllowance", "RetryTerms"]
 
 MAX_ATTEMPTS = 4
 """Attempts of one request if nothing else limits them."""
--- a/src/zinniaspool/core/dispatch/shares.py
+++ b/src/zinniaspool/core/dispatch/shares.py
@@ -14,9 +14,9 @@
     "CustomerShare",
     "LocalShares",
     "PeerCounts",
-    "divide_capacity",
-    "compute_local_shares",
     "apportion",
+    "compute_local_shares",
+    "divide_capacity",
 ]
 
 _ROUNDING = 1e-9
--- a/src/zinniaspool/core/dispatch/silence.py
+++ b/src/zinniaspool/core/dispatch/silence.py
@@ -15,10 +15,10 @@
 
 __all__ = [
     "StallLimits",
-    "suspect",
+    "back_off",
     "find_next_stall",
     "find_stalled",
-    "back_off",
+    "suspect",
 ]
 
 
--- a/src/zinniaspool/core/dispatch/terms.py
+++ b/src/zinniaspool/core/dispatch/terms.py
@@ -4,7 +4,7 @@
 
 from zinniaspool.core.ids import ModelName, RequestId
 
-__all__ = ["RequestTerms", "InstanceLoad"]
+__all__ = ["InstanceLoad", "RequestTerms"]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/zinniaspool/core/fleet/nodes.py
+++ b/src/zinniaspool/core/fleet/nodes.py
@@ -12,10 +12,10 @@
     "HOLDER_KEY",
     "NODES_PREFIX",
     "PLANS_PREFIX",
-    "QuarantineRecord",
     "HolderRecord",
     "NodeRecord",
     "NodeState",
+    "QuarantineRecord",
 ]
 
 HOLDER_KEY = "zinnia/holder"
--- a/src/zinniaspool/core/formation/balance.py
+++ b/src/zinniaspool/core/formation/balance.py
@@ -15,14 +15,14 @@
 
 __all__ = [
     "FULL_USE",
-    "Reassignment",
-    "SettledDomain",
     "ModelDemand",
+    "Reassignment",
     "ServingGroup",
+    "SettledDomain",
+    "compute_max_utilization",
     "count_after_loss",
     "find_reassignment",
     "find_reassignments",
-    "compute_max_utilization",
 ]
 
 MAX_REMAINING_PART = 0.85
--- a/src/zinniaspool/core/formation/census.py
+++ b/src/zinniaspool/core/formation/census.py
@@ -8,7 +8,7 @@
 from zinniaspool.core.formation.lifecycle import InstanceView
 from zinniaspool.core.ids import FabricDomainId, ModelName, ServiceName
 
-__all__ = ["VmInventory", "InventoryChange"]
+__all__ = ["InventoryChange", "VmInventory"]
 
 ARRIVAL_WINDOW_S = 0.6
 """Time after a VM's arrival in which more VMs are expected in its domain, in
--- a/src/zinniaspool/core/formation/domains.py
+++ b/src/zinniaspool/core/formation/domains.py
@@ -13,7 +13,7 @@
 from zinniaspool.core.formation.releases import ReleaseTracker
 from zinniaspool.core.ids import FabricDomainId, GroupId, ModelName, ServiceName
 
-__all__ = ["REST_LOOK_S", "ACTIVE_PHASES", "PlannedDomain"]
+__all__ = ["ACTIVE_PHASES", "REST_LOOK_S", "PlannedDomain"]
 
 REST_LOOK_S = 0.25
 """Pause between scans of a domain where nothing has changed and no group forms
--- a/src/zinniaspool/core/formation/lifecycle.py
+++ b/src/zinniaspool/core/formation/lifecycle.py
@@ -17,7 +17,7 @@
 from zinniaspool.core.formation.orders import GroupOrder, OrderAction, OrderOutcome
 from zinniaspool.core.formation.records import GroupPhase, GroupRecord
 
-__all__ = ["LEFT_OUTCOMES", "InstanceView", "GroupRun"]
+__all__ = ["LEFT_OUTCOMES", "GroupRun", "InstanceView"]
 
 RETRY_S = 0.5
 """Seconds until an order without effect is repeated. Answers take milliseconds
--- a/src/zinniaspool/core/groups/beats.py
+++ b/src/zinniaspool/core/groups/beats.py
@@ -31,11 +31,11 @@
     "PLAN_PREFIX",
     "DomainHeartbeat",
     "GroupHeartbeat",
+    "compute_expected_digest",
     "decode_heartbeat",
     "decode_plan",
     "encode_heartbeat",
     "encode_plan",
-    "compute_expected_digest",
     "make_heartbeat",
 ]
 
--- a/src/zinniaspool/core/groups/holder.py
+++ b/src/zinniaspool/core/groups/holder.py
@@ -42,7 +42,7 @@
     OrderKind,
 )
 
-__all__ = ["OtherDomainsView", "Holder", "HolderLimits", "PlanProposal"]
+__all__ = ["Holder", "HolderLimits", "OtherDomainsView", "PlanProposal"]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/zinniaspool/core/groups/succession.py
+++ b/src/zinniaspool/core/groups/succession.py
@@ -14,7 +14,7 @@
 
 from zinniaspool.core.ids import FabricDomainId, NodeId
 
-__all__ = ["DomainRole", "DomainFailover", "FailoverLimits", "rank_process"]
+__all__ = ["DomainFailover", "DomainRole", "FailoverLimits", "rank_process"]
 
 
 _STANDBY_COUNT = 2
--- a/src/zinniaspool/core/messages/configuration.py
+++ b/src/zinniaspool/core/messages/configuration.py
@@ -6,8 +6,8 @@
 
 __all__ = [
     "Announcement",
-    "ConfigurationResponse",
     "ConfigurationRequest",
+    "ConfigurationResponse",
     "PartContent",
     "decode_announcement",
     "encode_announcement",
--- a/src/zinniaspool/core/messages/membership.py
+++ b/src/zinniaspool/core/messages/membership.py
@@ -11,8 +11,8 @@
 __all__ = [
     "CompareRequest",
     "CompareResponse",
-    "JoinRequest",
     "JoinPage",
+    "JoinRequest",
     "KnownVersion",
     "ProbeRequest",
     "ProbeResponse",
--- a/src/zinniaspool/core/plans.py
+++ b/src/zinniaspool/core/plans.py
@@ -18,14 +18,14 @@
     "DrainCause",
     "EngineReport",
     "EngineState",
+    "ExcludedVm",
+    "ExclusionReason",
     "GroupPlan",
     "GroupStage",
     "Order",
     "OrderKind",
-    "ExclusionReason",
-    "ExcludedVm",
-    "VmListing",
     "VmListState",
+    "VmListing",
 ]
 
 
--- a/src/zinniaspool/entry/calls.py
+++ b/src/zinniaspool/entry/calls.py
@@ -14,7 +14,7 @@
 from zinniaspool.entry.services import ServiceIndex, ServiceState
 from zinniaspool.entry.sinks import AnswerSink
 
-__all__ = ["CallRunner", "ResolvedCall", "CallerRequest"]
+__all__ = ["CallRunner", "CallerRequest", "ResolvedCall"]
 
 _SALT_BYTES = 16
 """Length in bytes of a customer's cache salt."""
--- a/src/zinniaspool/entry/relay.py
+++ b/src/zinniaspool/entry/relay.py
@@ -38,7 +38,7 @@
 )
 from zinniaspool.http.sides import CALLER_SIDE, CallerGoneError
 
-__all__ = ["FailedAttempt", "RequestRelay", "RelayLimits", "RelayedCall"]
+__all__ = ["FailedAttempt", "RelayLimits", "RelayedCall", "RequestRelay"]
 
 _log = structlog.get_logger(__name__)
 _FORWARDED_HEADERS = ("content-type",)
--- a/src/zinniaspool/fleet/__init__.py
+++ b/src/zinniaspool/fleet/__init__.py
@@ -11,16 +11,16 @@
 from zinniaspool.fleet.store import FleetStore
 
 __all__ = [
-    "ProcessLocation",
-    "make_location",
-    "FleetView",
-    "FleetFollower",
-    "PeerExchange",
     "FleetCodec",
+    "FleetFollower",
     "FleetStore",
+    "FleetView",
     "HolderHeartbeat",
-    "RenewedLease",
     "NodeSettings",
+    "PeerExchange",
+    "ProcessLocation",
+    "RenewedLease",
+    "make_location",
     "read_boot_clock",
     "run_supervised",
 ]
--- a/src/zinniaspool/fleet/mesh.py
+++ b/src/zinniaspool/fleet/mesh.py
@@ -35,7 +35,7 @@
 from zinniaspool.fleet.sight import HolderHeartbeat, read_boot_clock
 from zinniaspool.peers import PeerHandler, PeerLinks, PeerListener, encode_frame
 
-__all__ = ["PeerExchange", "HolderTerm", "is_connection_refused", "unpack_items"]
+__all__ = ["HolderTerm", "PeerExchange", "is_connection_refused", "unpack_items"]
 
 ANSWER_TIMEOUT_S = 0.6
 """Longest wait for a peer's answer, in seconds; a request for updates lets the
--- a/src/zinniaspool/gateway/calls.py
+++ b/src/zinniaspool/gateway/calls.py
@@ -14,7 +14,7 @@
 from zinniaspool.core.ids import ContentId, FabricDomainId, ServiceName
 from zinniaspool.http import ClientResponse, Exchange
 
-__all__ = ["GatewayCall", "FailedAnswer"]
+__all__ = ["FailedAnswer", "GatewayCall"]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/zinniaspool/node/__init__.py
+++ b/src/zinniaspool/node/__init__.py
@@ -10,9 +10,9 @@
 
 __all__ = [
     "AccessControl",
-    "GossipService",
     "ConfigurationFollower",
     "CredentialFile",
+    "GossipService",
     "NodeRuntime",
     "NoticeHandler",
     "Operator",
--- a/src/zinniaspool/platform/wire.py
+++ b/src/zinniaspool/platform/wire.py
@@ -13,11 +13,11 @@
 from zinniaspool.http import Headers, Request
 
 __all__ = [
-    "parse_answered_request",
-    "has_not_run",
-    "make_upstream_headers",
     "add_fault_headers",
+    "has_not_run",
     "make_caller_headers",
+    "make_upstream_headers",
+    "parse_answered_request",
     "parse_key",
     "parse_limit",
     "parse_load",
--- a/tests/holder_fakes.py
+++ b/tests/holder_fakes.py
@@ -40,7 +40,7 @@
 )
 from zinniaspool_standins.kvstore import KeyValueState
 
-__all__ = ["DOMAIN", "HolderSimulation", "FakeEngine", "FakeProcess"]
+__all__ = ["DOMAIN", "FakeEngine", "FakeProcess", "HolderSimulation"]
 
 DOMAIN = FabricDomainId("d0")
 TICK_S = 0.1
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -39,7 +39,7 @@
     NodeId,
 )
 
-__all__ = ["Caller", "Workload", "SimulatedFleet", "FleetShape"]
+__all__ = ["Caller", "FleetShape", "SimulatedFleet", "Workload"]
 
 REPORT_PERIOD_S = 0.05
 LINK_S = 0.001
